--- a/spoolcrank/apart.py
+++ b/spoolcrank/apart.py
@@ -1,8 +1,9 @@
-"""Start tasks under which runners crashed where they can do least harm, and prove or clear most.
+"""Isolate tasks suspected of crashing runners, to limit the damage and to find the cause.
 
-After one crash a task goes where no other suspect is. After two it has a runner for itself until
-its run has outlived the moment: nothing starts there any more, what began there lately settles, and
-then its start goes out. A crash then proves something, and costs the runner that is least dear.
+After one crash, a task runs on a runner without other suspects. After two, it gets an exclusive
+runner until its run has survived the critical time: nothing else starts on that runner, the runs
+that started there recently settle, and only then the suspect starts. A crash is then evidence
+against this task, and it costs the runner whose loss is cheapest.
 """
 
 from collections import Counter
@@ -16,30 +17,30 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import Phase, TaskKey
 
-PATIENCE_S = 1.5
-"""A suspect waits so long until what began lately on its runner has settled, s."""
+MAX_SETTLE_WAIT_S = 1.5
+"""Longest time for which a suspect waits for the recent runs on its runner to settle, seconds."""
 
-LOOKS_S = 1.0
-"""It looks so long for a runner for itself, s; then it starts beside others. A job with nothing at
-work for 3 s counts as lost."""
+MAX_ISOLATION_WAIT_S = 1.0
+"""Longest time for which a suspect waits for an exclusive runner, seconds; then it starts beside
+other tasks. A job with nothing running for 3 s counts as lost."""
 
-MORE_AFTER_S = 0.5
-"""Where suspects have waited so long, s, more runners are set aside for them."""
+LONG_WAIT_S = 0.5
+"""Wait of a suspect after which more runners may be exclusive at the same time, seconds."""
 
-RUNNERS_EACH_LATER = 2
-"""One suspect at a time has a runner for itself for so many then."""
+RUNNERS_PER_LATE_SUSPECT = 2
+"""Replaces RUNNERS_PER_SUSPECT for suspects that have waited LONG_WAIT_S."""
 
-CLOSED_S = 3.0
-"""Nothing else starts beside a suspect for so long, s; longer would take too much room from others,
-as many are sound."""
+ISOLATION_S = 3.0
+"""Time for which a suspect keeps its exclusive runner, seconds. A longer time would take too much
+capacity from other tasks, as many suspects are harmless."""
 
-RUNNERS_EACH = 8
-"""One suspect at a time has a runner for itself for so many: each may cost one."""
+RUNNERS_PER_SUSPECT = 8
+"""Number of runners per exclusive one: an isolated suspect may crash the runner that it has."""
 
 
 def without_suspects(runners: Sequence[RunnerState]) -> list[RunnerState]:
-    """Return the runners on which no suspect is."""
-    return [one for one in runners if not any(run.suspect for run in one.runs.values())]
+    """Return the runners that execute no suspect."""
+    return [runner for runner in runners if not any(run.suspect for run in runner.runs.values())]
 
 
 def place_apart(
@@ -50,47 +51,49 @@
     runners: Sequence[RunnerState],
     now: float,
 ) -> RunnerState | None:
-    """Return the runner for a suspect once that is ready for it; None while it has to wait."""
+    """Return the exclusive runner of a suspect once it is ready, or None while the task waits."""
     waited_s = _waited_s(task, now)
-    held = _set_aside(state, key)
-    if held is None:
-        held = _choose(state, task, request, runners, waited_s, now)
-        if held is None:
+    runner = _exclusive_runner(state, key)
+    if runner is None:
+        runner = _choose(state, task, request, runners, waited_s, now)
+        if runner is None:
             return None
-        held.apart_for = key
-        held.apart_since = now
-        state.note("suspect-apart", task=key, runner=held.id, beside=len(held.runs))
+        runner.apart_for = key
+        runner.apart_since = now
+        state.note("suspect-apart", task=key, runner=runner.id, beside=len(runner.runs))
     if (
-        held.emptied
-        or not held.answers(now)
-        or not score(request, request.step.demand, held, state.contention, now)
+        runner.emptied
+        or not runner.answers(now)
+        or not score(request, request.step.demand, runner, state.contention, now)
     ):
-        held.apart_for = None
+        runner.apart_for = None
         return None
-    ready = _settled(held, now) or now - held.apart_since >= PATIENCE_S
-    return held if ready else None
+    ready = _settled(runner, now) or now - runner.apart_since >= MAX_SETTLE_WAIT_S
+    return runner if ready else None
 
 
 def waits_apart(task: TaskState, now: float) -> bool:
-    """Tell whether a suspect that finds no runner for itself goes on waiting for one."""
-    return _waited_s(task, now) < LOOKS_S
+    """Return whether a suspect without an exclusive runner keeps waiting for one."""
+    return _waited_s(task, now) < MAX_ISOLATION_WAIT_S
 
 
 def _waited_s(task: TaskState, now: float) -> float:
-    """Return for how long a suspect has been waiting; begins to count with its first look."""
+    """Return how long a suspect has waited, seconds; the first call starts the count."""
     if task.apart_from is None:
         task.apart_from = now
     return now - task.apart_from
 
 
-def _set_aside(state: Scheduler, key: TaskKey) -> RunnerState | None:
-    return next((one for one in state.runners.values() if one.apart_for == key), None)
+def _exclusive_runner(state: Scheduler, key: TaskKey) -> RunnerState | None:
+    return next((runner for runner in state.runners.values() if runner.apart_for == key), None)
 
 
 def _all_in_use(state: Scheduler, runners: Sequence[RunnerState], waited_s: float) -> bool:
-    each = RUNNERS_EACH if waited_s < MORE_AFTER_S else RUNNERS_EACH_LATER
-    in_use = sum(1 for one in state.runners.values() if one.apart_for is not None)
-    return in_use >= max(1, (len(runners) + in_use) // each)
+    runners_per_suspect = (
+        RUNNERS_PER_SUSPECT if waited_s < LONG_WAIT_S else RUNNERS_PER_LATE_SUSPECT
+    )
+    in_use = sum(1 for runner in state.runners.values() if runner.apart_for is not None)
+    return in_use >= max(1, (len(runners) + in_use) // runners_per_suspect)
 
 
 def _choose(
@@ -101,19 +104,27 @@
     waited_s: float,
     now: float,
 ) -> RunnerState | None:
-    """Return the cheapest runner to lose that could take the task now."""
+    """Return the runner whose loss is cheapest among those that can take the task now."""
     if _all_in_use(state, runners, waited_s):
         return None
-    crashed = Counter(mark.address for mark in task.crashes)
-    tried = sorted(without_suspects(runners), key=lambda one: _price(one, crashed))
+    crash_counts = Counter(evidence.address for evidence in task.crashes)
+    candidates = sorted(
+        without_suspects(runners), key=lambda runner: _loss_cost(runner, crash_counts)
+    )
     demand = request.step.demand
-    return next((one for one in tried if score(request, demand, one, state.contention, now)), None)
+    return next(
+        (runner for runner in candidates if score(request, demand, runner, state.contention, now)),
+        None,
+    )
+
 
+def _loss_cost(runner: RunnerState, crash_counts: Counter[str]) -> tuple[int, int, int, int]:
+    """Return a sort key: runners without a crash under the task first, then the cheapest to lose.
 
-def _price(runner: RunnerState, crashed: Counter[str]) -> tuple[int, int, int, int]:
-    """Order runners by what a crash would cost; one that crashed before would prove less."""
+    Another crash of a runner that crashed under the task before would be weaker evidence.
+    """
     lasting = sum(1 for run in runner.runs.values() if run.lasting or run.serves)
-    return (crashed[runner.entry.address], lasting, len(runner.runs), runner.used_millicores)
+    return (crash_counts[runner.entry.address], lasting, len(runner.runs), runner.used_millicores)
 
 
 def _settled(runner: RunnerState, now: float) -> bool:
@@ -126,16 +137,16 @@
 
 
 def reopen(state: Scheduler, runner: RunnerState, now: float) -> None:
-    """Open a runner to others again where its suspect needs it no more."""
+    """End the isolation of a runner once its suspect no longer needs it."""
     key = runner.apart_for
     if key is None:
         return
     run = runner.runs.get(key)
     if run is not None:
-        if run.ordered_at is not None and now - run.ordered_at >= CLOSED_S:
+        if run.ordered_at is not None and now - run.ordered_at >= ISOLATION_S:
             runner.apart_for = None
         return
     job = state.jobs.get(key.job)
-    waits = job is not None and job.has(key) and job.task(key).phase is Phase.WAITING
-    if not waits or now - runner.apart_since >= CLOSED_S:
+    waiting = job is not None and job.has(key) and job.task(key).phase is Phase.WAITING
+    if not waiting or now - runner.apart_since >= ISOLATION_S:
         runner.apart_for = None
--- a/spoolcrank/backlog.py
+++ b/spoolcrank/backlog.py
@@ -1,4 +1,4 @@
-"""Tell what waiting fillers wait for: why no runner takes one more of each image."""
+"""Log why fillers wait: for each image, what keeps each runner from taking one more."""
 
 from collections import Counter, defaultdict
 from typing import NamedTuple
@@ -8,15 +8,16 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import Step
 
-BACKLOG_EVERY_S = 2.0
-"""Between two accounts, s; what binds shifts with the load in some seconds."""
+BACKLOG_INTERVAL_S = 2.0
+"""Interval between reports of the backlog, seconds; the obstacles change with the load within
+some seconds."""
 
-MOST_IMAGES = 16
-"""Images told of in one account, those with the most waiting first; bounds the lines."""
+MAX_IMAGES = 16
+"""Number of images in one report, those with the most waiting work first; limits the log volume."""
 
 
 class _Waiting(NamedTuple):
-    """Waiting fillers of one image: the smallest task, and what all of them want, cores."""
+    """Waiting fillers of one image: the step with the smallest task, and the total cores wanted."""
 
     service: ServiceName
     step: Step
@@ -24,58 +25,65 @@
 
 
 def tell_backlog_now_and_then(state: Scheduler, now: float) -> None:
-    """Write the account, if the last one is old enough."""
-    if now - state.backlog_told_at >= BACKLOG_EVERY_S:
-        state.backlog_told_at = now
+    """Log the backlog if BACKLOG_INTERVAL_S has passed since the last report."""
+    if now - state.backlog_logged_at >= BACKLOG_INTERVAL_S:
+        state.backlog_logged_at = now
         tell_backlog(state, now)
 
 
 def tell_backlog(state: Scheduler, now: float) -> None:
-    """Write a line for each image of waiting fillers: how much, and what each runner lacks."""
+    """Log an event for each image of waiting fillers: amount waiting and obstacles on runners."""
     waiting = _waiting(state)
-    at_work = _at_work(state)
+    running = _running_cores(state)
     pools = state.pools(now)
     images = sorted(waiting, key=lambda image: -waiting[image].cores)
-    for image in images[:MOST_IMAGES]:
-        held = waiting[image]
-        found: Counter[Obstacle | None] = Counter(
-            filler_obstacle(held.step, runner, state.contention, now)
-            for runner in pools.get(held.service, [])
+    for image in images[:MAX_IMAGES]:
+        backlog = waiting[image]
+        obstacle_counts: Counter[Obstacle | None] = Counter(
+            filler_obstacle(backlog.step, runner, state.contention, now)
+            for runner in pools.get(backlog.service, [])
+        )
+        serving = sorted(
+            {serving_image for runner in state.runners.values() for serving_image in runner.serving}
         )
-        serving = sorted({one for runner in state.runners.values() for one in runner.serving})
         state.note(
             "fillers-wait",
             image=image,
-            waiting_cores=round(held.cores, 1),
-            at_work_cores=round(at_work[image], 1),
-            open_runners=found[None],
-            obstacles={one.value: found[one] for one in Obstacle},
+            waiting_cores=round(backlog.cores, 1),
+            at_work_cores=round(running[image], 1),
+            open_runners=obstacle_counts[None],
+            obstacles={obstacle.value: obstacle_counts[obstacle] for obstacle in Obstacle},
             beliefs=[
-                [one, *(round(part, 2) for part in state.contention.belief(one, image))]
-                for one in serving
+                [
+                    serving_image,
+                    *(round(part, 2) for part in state.contention.belief(serving_image, image)),
+                ]
+                for serving_image in serving
             ],
         )
 
 
 def _waiting(state: Scheduler) -> dict[str, _Waiting]:
-    found: dict[str, _Waiting] = {}
+    by_image: dict[str, _Waiting] = {}
     for job in state.waiting_jobs():
-        for held in job.rounds.values():
-            for _, step in held.ready():
+        for round_state in job.rounds.values():
+            for _, step in round_state.ready():
                 if not step.spec.fills:
                     continue
                 cores = len(step.waiting) * step.spec.millicores / 1000.0
-                before = found.get(step.spec.image)
+                before = by_image.get(step.spec.image)
                 if before is None:
-                    found[step.spec.image] = _Waiting(state.service_of(job), step.spec, cores)
+                    by_image[step.spec.image] = _Waiting(state.service_of(job), step.spec, cores)
                     continue
-                smallest = min(before.step, step.spec, key=lambda one: one.millicores)
-                found[step.spec.image] = before._replace(step=smallest, cores=before.cores + cores)
-    return found
+                smallest = min(before.step, step.spec, key=lambda candidate: candidate.millicores)
+                by_image[step.spec.image] = before._replace(
+                    step=smallest, cores=before.cores + cores
+                )
+    return by_image
 
 
-def _at_work(state: Scheduler) -> dict[str, float]:
-    """Return what fillers of each image may use at their pace, cores."""
+def _running_cores(state: Scheduler) -> dict[str, float]:
+    """Return the processors that running fillers of each image may use at their pace, cores."""
     cores: dict[str, float] = defaultdict(float)
     for runner in state.runners.values():
         for run in runner.runs.values():
--- a/spoolcrank/due_work.py
+++ b/spoolcrank/due_work.py
@@ -1,4 +1,4 @@
-"""Do what time alone makes due for a leader, in its order."""
+"""Run the periodic work of a leader in a fixed order."""
 
 from spoolcrank.backlog import tell_backlog_now_and_then
 from spoolcrank.batching import drop_ended, keep_learnt
@@ -14,7 +14,7 @@
 def do_what_is_due(
     state: Scheduler, preassignments: Preassignments, regrouping: Regrouping, now: float
 ) -> None:
-    """Look after runs and leases, records, forecasts and moves."""
+    """Run the periodic work on runs, leases, records, forecasts, preassignments and moves."""
     tick(state, now)
     drop_ended(state, now)
     keep_learnt(state, now)
--- a/spoolcrank/gangs.py
+++ b/spoolcrank/gangs.py
@@ -1,4 +1,4 @@
-"""Place the tasks of a gang, which work only all together."""
+"""Place the tasks of a gang, which can only run all together."""
 
 from spoolcrank.apart import without_suspects
 from spoolcrank.binding import bind
@@ -20,12 +20,12 @@
     runners: list[RunnerState],
     now: float,
 ) -> bool:
-    """Bind all tasks of a gang, or none; returns whether it was."""
+    """Bind all tasks of a gang or none of them; return whether they were bound."""
     if len(step.waiting) < len(step.tasks):
         return False
     racks = [""]
     if step.spec.same_rack:
-        racks = sorted({label for one in runners for label in one.entry.labels}) + racks
+        racks = sorted({label for runner in runners for label in runner.entry.labels}) + racks
     run = max(task.run for task in step.tasks) + 1
     if step.tasks[0].not_before > now:
         return False
@@ -50,16 +50,19 @@
     run: int,
     now: float,
 ) -> bool:
-    held: dict[RunnerId, int] = {}
+    tasks_per_runner: dict[RunnerId, int] = {}
     chosen: list[tuple[RunnerState, TaskKey]] = []
     for index in range(len(step.tasks)):
         key = TaskKey(job.id, round_number, number, index)
         runner = choose(
-            PlacementRequest(step.spec, held, NO_RUNNER, rack), runners, state.contention, now
+            PlacementRequest(step.spec, tasks_per_runner, NO_RUNNER, rack),
+            runners,
+            state.contention,
+            now,
         )
         if runner is None:
             break
-        held[runner.id] = held.get(runner.id, 0) + 1
+        tasks_per_runner[runner.id] = tasks_per_runner.get(runner.id, 0) + 1
         runner.add(key, state.new_run(job, key, run, RunStage.RECORDED, now))
         chosen.append((runner, key))
     for runner, key in chosen:
--- a/spoolcrank/gathering.py
+++ b/spoolcrank/gathering.py
@@ -1,8 +1,8 @@
-"""Gather what happens for a moment, and decide on all of it at once.
+"""Debounce events, so that one decision covers all of them.
 
-Pattern: a flood of small events, as ends of tasks over hundreds of runners. Each of them may let
-something start, and a decision costs nearly the same for one as for many. Decided one by one they
-take the processor from the reading of answers, and every later one is late.
+This handles floods of small events, such as the ends of tasks over hundreds of runners. Each event
+may allow something to start, and a decision costs nearly the same for one event as for many. One
+decision per event would take processor time from reading answers and delay all later events.
 """
 
 from collections.abc import Callable
@@ -10,25 +10,26 @@
 from spoolcrank._timers import Timers
 
 GATHER_S = 0.004
-"""What happens within so long is decided and written together, s; one answer of the store."""
+"""Shortest delay between an event and the decision on it, seconds; one response time of the store.
+Events within this time are decided on and stored together."""
 
 GATHER_SHARE = 2.0
-"""Times the last decision that what happens is gathered for, so that decisions take a third of a
-busy leader's processor and answers of runners are read between them. Over 270 runners under load
-226 of them a second took half of all that the leader did (its calls counted for 24 s)."""
+"""Delay as a multiple of the duration of the last decision. Decisions then take a third of a busy
+leader's processor, and answers of runners are read between them. Over 270 runners under load, 226
+decisions a second took half of the leader's time (calls counted for 24 s)."""
 
 MOST_GATHER_S = 0.03
-"""What happens waits no longer than that, s: two of these in a chain of short steps are a twentieth
-of the time that it may take."""
+"""Longest delay between an event and the decision on it, seconds. Two such delays in a chain of
+short steps are a twentieth of the time that the chain may take."""
 
 
 class Gathering:
-    """When the next decision is made.
+    """Scheduling of the next decision after events.
 
     Args:
-        timers: of this process.
-        clock: monotonic seconds.
-        decide: decides on everything that has happened.
+        timers: the timers of this process.
+        clock: returns monotonic seconds.
+        decide: called to decide on all events so far.
     """
 
     def __init__(
@@ -37,19 +38,19 @@
         self._timers = timers
         self._clock = clock
         self._decide = decide
-        self._woken = False
+        self._scheduled = False
         self._took_s = 0.0
 
     def wake(self) -> None:
-        """Let what has happened be decided on soon."""
-        if not self._woken:
-            self._woken = True
-            gather_s = min(MOST_GATHER_S, GATHER_SHARE * self._took_s)
-            self._timers.after(max(GATHER_S, gather_s), self.decide)
+        """Schedule a decision, unless one is scheduled already."""
+        if not self._scheduled:
+            self._scheduled = True
+            delay_s = min(MOST_GATHER_S, GATHER_SHARE * self._took_s)
+            self._timers.after(max(GATHER_S, delay_s), self.decide)
 
     def decide(self) -> None:
-        """Decide now."""
-        self._woken = False
+        """Decide at once and measure how long the decision takes."""
+        self._scheduled = False
         began = self._clock()
         self._decide()
         self._took_s = self._clock() - began
--- a/spoolcrank/mechanisms.py
+++ b/spoolcrank/mechanisms.py
@@ -1,7 +1,7 @@
-"""Name the leader's mechanisms that can be switched off to measure what each is worth.
+"""Define the leader's mechanisms that can be switched off to measure the effect of each.
 
-A daemon reads the names from SPOOLCRANK_WITHOUT, by commas. Nothing that a promise rests on can be
-switched off.
+A daemon reads the names from SPOOLCRANK_WITHOUT, separated by commas. Mechanisms on which an
+invariant depends cannot be switched off.
 """
 
 import os
@@ -10,30 +10,34 @@
 
 from spoolcrank.errors import ErrorKind, Refusal, SettingsError
 
-VARIABLE = "SPOOLCRANK_WITHOUT"
+WITHOUT_VARIABLE = "SPOOLCRANK_WITHOUT"
 
 
 class Mechanism(Enum):
-    """One that can be switched off."""
+    """A mechanism that can be switched off, by the name used in SPOOLCRANK_WITHOUT."""
 
     REGROUPING = "regrouping"
     MOVING = "moving"
-    MAKING_WAY = "making-way"
+    YIELDING = "making-way"
     FREEING = "freeing"
     CLAIMS = "claims"
     RESERVE = "reserve"
-    GATHERING = "gathering"
+    LASTING_BATCHES = "gathering"
     TIMES = "times"
     HANGS = "hangs"
     PREASSIGNING = "preassigning"
 
 
 def switched_off(environment: Mapping[str, str] = os.environ) -> frozenset[Mechanism]:
-    """Return what the environment switches off; raises SettingsError naming an unknown one."""
-    names = [name for name in environment.get(VARIABLE, "").split(",") if name]
-    known = {one.value: one for one in Mechanism}
-    wrong = [name for name in names if name not in known]
-    if wrong:
-        detail = f"{VARIABLE}: {wrong[0]!r} is none of {', '.join(known)}"
+    """Return the mechanisms that the environment switches off.
+
+    Raises:
+        SettingsError: a name is unknown.
+    """
+    names = [name for name in environment.get(WITHOUT_VARIABLE, "").split(",") if name]
+    mechanisms = {mechanism.value: mechanism for mechanism in Mechanism}
+    unknown = [name for name in names if name not in mechanisms]
+    if unknown:
+        detail = f"{WITHOUT_VARIABLE}: {unknown[0]!r} is not one of {', '.join(mechanisms)}"
         raise SettingsError(Refusal(ErrorKind.BAD_SETTINGS, detail))
-    return frozenset(known[name] for name in names)
+    return frozenset(mechanisms[name] for name in names)
--- a/spoolcrank/objective.py
+++ b/spoolcrank/objective.py
@@ -1,8 +1,8 @@
-"""Order waiting jobs by what they can still reach.
+"""Order waiting jobs by whether they can still meet their objectives.
 
-A job finished within its objective earns in full, within three times of it a little, later
-nothing. Where more waits than fits, work on what can still make it; the rest yields, and runs
-when there is room.
+A job that finishes within its objective earns its full value, within three times its objective a
+small part, and later nothing. When more work waits than the runners can execute, jobs that can
+still meet their objectives come first; the others run when there is free capacity.
 """
 
 import math
@@ -13,18 +13,21 @@
 from spoolcrank.workflow import Step
 
 LATE_FACTOR = 3.0
-"""A job within so many times its objective still earns a little; stated by the platform."""
+"""Multiple of its objective within which a late job still earns a part of its value, as the
+platform defines it."""
 
-MARGIN = 1.15
-"""A job can make it while the time left is so many times its remaining chain."""
+TIME_MARGIN = 1.15
+"""Multiple of the expected duration of the remaining chain that must be left for a job to count as
+able to finish in time."""
 
-UNEVEN = 0.25
-"""Deviation of the logarithm of the times of one step's tasks, measured on one deployment (0.23
-to 0.26 in 1,200 steps of two queues): a step lasts as long as its longest task."""
+LOG_DURATION_DEVIATION = 0.25
+"""Standard deviation of the logarithm of the task durations within one step, used because a step
+lasts as long as its longest task. It was 0.23 to 0.26 in 1,200 steps of two queues of one
+deployment."""
 
 
 class Prospect(IntEnum):
-    """What a job can still reach, in the order of work."""
+    """Whether a job can still meet its objective, in the order of work."""
 
     BEGUN = 0
     FRESH = 1
@@ -33,15 +36,15 @@
 
 
 def step_ms(job: JobState, step: Step, times: StepTimes) -> float:
-    """Return how long the longest of a step's tasks likely takes."""
-    # Of normal variables, the largest of n lies about 0.7 times this many deviations up.
-    above = 0.7 * math.sqrt(2.0 * math.log(step.count))
-    usual = times.expected_ms(job.record.route, step.estimate_ms)
-    return usual * math.exp(UNEVEN * above)
+    """Return the expected duration of a step's longest task, milliseconds."""
+    # The largest of n normal values is about 0.7 * sqrt(2 ln n) deviations above the mean.
+    deviations = 0.7 * math.sqrt(2.0 * math.log(step.count))
+    typical_ms = times.expected_ms(job.record.route, step.estimate_ms)
+    return typical_ms * math.exp(LOG_DURATION_DEVIATION * deviations)
 
 
 def chain_ms(job: JobState, times: StepTimes) -> float:
-    """Return the length of a job's longest chain of steps, by what their tasks likely take."""
+    """Return the expected duration of a job's longest chain of steps, milliseconds."""
     ends: list[float] = []
     for step in job.record.workflow.steps:
         begin = max((ends[earlier] for earlier in step.after), default=0.0)
@@ -50,44 +53,45 @@
 
 
 def remaining_ms(job: JobState, times: StepTimes) -> float:
-    """Return the longest chain of the steps that are not finished."""
+    """Return the expected duration of the longest chain of unfinished steps, milliseconds."""
     longest = 0.0
-    for held in job.rounds.values():
+    for round_state in job.rounds.values():
         ends: list[float] = []
-        for step in held.steps:
+        for step in round_state.steps:
             begin = max((ends[earlier] for earlier in step.spec.after), default=0.0)
-            takes = 0.0 if step.finished else step_ms(job, step.spec, times)
-            ends.append(begin + takes)
+            duration_ms = 0.0 if step.finished else step_ms(job, step.spec, times)
+            ends.append(begin + duration_ms)
         longest = max(longest, *ends)
     return longest
 
 
 def objective_s(job: JobState, times: StepTimes) -> float:
-    """Return the time within which a job should finish, from its acceptance."""
+    """Return the time from its acceptance within which a job should finish, seconds."""
     return (job.record.stretch * chain_ms(job, times) + job.record.objective_ms) / 1000.0
 
 
 def prospect(job: JobState, times: StepTimes, now: float) -> Prospect:
-    """Return what a job can still reach."""
+    """Return whether a job can still finish in time, late, or without value."""
     age_s = now - job.accepted_at
-    needs_s = remaining_ms(job, times) * MARGIN / 1000.0
-    if age_s + needs_s <= job.objective_s:
+    needed_s = remaining_ms(job, times) * TIME_MARGIN / 1000.0
+    if age_s + needed_s <= job.objective_s:
         return Prospect.BEGUN if job.begun else Prospect.FRESH
-    if age_s + needs_s <= job.objective_s * LATE_FACTOR:
+    if age_s + needed_s <= job.objective_s * LATE_FACTOR:
         return Prospect.LATE
     return Prospect.HOPELESS
 
 
 def work_order(job: JobState, times: StepTimes, now: float) -> tuple[int, float]:
-    """Return the place of a waiting job among those of its priority; lower comes first.
+    """Return the position of a waiting job among those of its priority; lower comes first.
 
-    Begun ones go by the end of their time: what was done for a job that comes too late is lost. Of
-    those not begun the newest come first: with all of their time left they surely make it, where
-    the oldest might not (by the end of their time: 0.014 of all worth less in 6 paired days).
+    Jobs that have begun are ordered by deadline, as the work done for a job that ends too late is
+    lost. Of the jobs not begun, the newest come first: they have all of their time left and surely
+    finish within it, whereas the oldest might not. Ordering these by deadline as well earned 0.014
+    less of the total value in 6 paired days.
     """
-    kind = prospect(job, times, now)
-    if kind is Prospect.BEGUN:
-        return (kind, job.accepted_at + job.objective_s)
-    if kind is Prospect.FRESH:
-        return (kind, -job.accepted_at)
-    return (kind, job.accepted_at)
+    outlook = prospect(job, times, now)
+    if outlook is Prospect.BEGUN:
+        return (outlook, job.accepted_at + job.objective_s)
+    if outlook is Prospect.FRESH:
+        return (outlook, -job.accepted_at)
+    return (outlook, job.accepted_at)
--- a/spoolcrank/placing.py
+++ b/spoolcrank/placing.py
@@ -1,4 +1,4 @@
-"""Bind waiting tasks to runners, in the order of work, and keep room for short ones."""
+"""Bind waiting tasks to runners in order of work, and reserve capacity for short tasks."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -13,46 +13,49 @@
 from spoolcrank.mechanisms import Mechanism
 from spoolcrank.objective import Prospect, work_order
 from spoolcrank.packing import PlacementRequest, choose, slows_nothing
-from spoolcrank.placing_pass import MOST_WEIGHED, Kind, NoPlace, Placed, PlacingPass
+from spoolcrank.placing_pass import MOST_WEIGHED, FillerRefusal, Kind, PlacingPass, PlacingResult
 from spoolcrank.ranking import Ranking
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import RunnerId, StepKey, TaskKey
 
-MISSES = 3
-"""A pass over waiting work ends for tasks of one image after so many steps that found no place;
-trying all of a long queue costs more than a place that is found a pass later."""
+MAX_MISSES = 3
+"""Number of steps of one image that may find no runner before a pass skips the rest of that image.
+Trying all of a long queue costs more than finding a runner one pass later."""
 
-GATHER_LASTING_S = 0.25
-"""Lasting jobs that come within so long are placed together by image, s; they run for minutes."""
+LASTING_BATCH_S = 0.25
+"""Time for which a new lasting job waits so that jobs arriving together are placed by image,
+seconds. Lasting jobs run for minutes, so this wait costs them little."""
 
 FILLER_RETRY_S = 0.1
-"""Fillers of an image that found no place are tried again after so long, s. Under overload each
-end of a task wakes the leader, and with 176 runners and 200 waiting jobs one pass over all of
-them took 160 ms."""
+"""Delay before fillers of an image that found no runner are tried again, seconds. Under overload
+every task end triggers a placing pass, and with 176 runners and 200 waiting jobs one pass over all
+of them took 160 ms."""
 
-FORECAST_S = 0.5
-"""Between two samples of the demand of short tasks, s; about the time that one takes."""
+FORECAST_INTERVAL_S = 0.5
+"""Interval between samples of the demand of short tasks, seconds; about one task duration."""
 
-FORECAST_MEMORY_S = 8.0
-"""Samples of the demand of short tasks fade within so long, s; bursts last about 6 s."""
+FORECAST_DECAY_S = 8.0
+"""Time constant of the average demand of short tasks, seconds; bursts last about 6 s."""
 
-RESERVE = 1.5
-"""Times the demand of short tasks that is kept for them; chosen, not measured by itself."""
+RESERVE_FACTOR = 1.5
+"""Factor by which the capacity reserved for short tasks exceeds their average demand."""
 
-LEAST_RESERVE = 2500
-"""Of a runner, millicores, as soon as there are short tasks: room for one of the usual size."""
+MIN_RESERVE_MILLICORES = 2500
+"""Smallest reserve on each runner while there are short tasks, millicores: capacity for one short
+task of the usual size."""
 
 
 def forecast(state: Scheduler, now: float) -> None:
-    """Set the room that lasting tasks leave to short counted ones on each runner.
+    """Set the capacity that lasting tasks leave to short counted tasks on each runner.
 
-    Short tasks earn about four times as much for a core and second, and would find no
-    room where more lasting ones wait than fit.
+    A counted task is one whose processors count against the runner's capacity. Short tasks earn
+    about four times as much per core-second as lasting ones, and would find no free capacity
+    while more lasting tasks wait than fit.
     """
-    if now - state.forecast_at < FORECAST_S:
+    if now - state.forecast_at < FORECAST_INTERVAL_S:
         return
-    share = min(1.0, (now - state.forecast_at) / FORECAST_MEMORY_S)
+    share = min(1.0, (now - state.forecast_at) / FORECAST_DECAY_S)
     state.forecast_at = now
     state.contention.expect(filler_mix(state))
     demand = _short_running(state) + _short_waiting(state)
@@ -61,23 +64,25 @@
     if state.short_demand < 1.0 or not usable or not state.uses(Mechanism.RESERVE):
         state.reserve = 0
     else:
-        state.reserve = max(LEAST_RESERVE, int(RESERVE * state.short_demand / usable))
+        state.reserve = max(
+            MIN_RESERVE_MILLICORES, int(RESERVE_FACTOR * state.short_demand / usable)
+        )
 
 
 def filler_mix(state: Scheduler) -> dict[str, float]:
-    """Return the share of each filler image in what fillers want, running or waiting."""
+    """Return the share of each image in the processors that running and waiting fillers want."""
     wanted: Counter[str] = Counter()
     for runner in state.runners.values():
         for run in runner.runs.values():
             if run.fills:
                 wanted[run.image] += run.wanted_millicores
     for job in state.waiting_jobs():
-        for held in job.rounds.values():
-            for _, step in held.ready():
+        for round_state in job.rounds.values():
+            for _, step in round_state.ready():
                 if step.spec.fills:
                     wanted[step.spec.image] += len(step.waiting) * step.spec.millicores
-    in_all = sum(wanted.values())
-    return {image: amount / in_all for image, amount in wanted.items()}
+    total = sum(wanted.values())
+    return {image: amount / total for image, amount in wanted.items()}
 
 
 def _short_running(
@@ -97,61 +102,61 @@
     return sum(
         len(step.waiting) * step.spec.demand.millicores
         for job in state.waiting_jobs()
-        for held in job.rounds.values()
-        for _, step in held.ready()
+        for round_state in job.rounds.values()
+        for _, step in round_state.ready()
         if not step.spec.lasting
     )
 
 
-TURN_AFTER_S = 1.0
-"""A job that got no start for so long has a turn, s. It counts as lost once it has had nothing
-running for 3 s while there is room for it."""
+TURN_WAIT_S = 1.0
+"""Time without a start after which a job gets a turn, seconds. A job counts as lost once it has had
+nothing running for 3 s while there is free capacity for it."""
 
-TURN_EVERY_S = 0.25
-"""Between two turns while a job waits that can still be in time, s: a seventh of what a link of
-1 Mbit/s carries, with the largest payloads."""
+TURN_INTERVAL_S = 0.25
+"""Interval between turns while some waiting job can still meet its objective, seconds. With the
+largest payloads, turns then use a seventh of a link of 1 Mbit/s."""
 
-LATE_TURN_EVERY_S = 0.02
-"""Between two turns where only late jobs wait, s: all that such a link carries. Which of them comes
-first earns little, and forty jobs so have a start each within 2 s."""
+LATE_TURN_INTERVAL_S = 0.02
+"""Interval between turns while only late jobs wait, seconds. Turns then use all of a link of
+1 Mbit/s: the order of late jobs earns little, and forty jobs get a start each within 2 s."""
 
 
 def place(state: Scheduler, now: float, time_of_day_ms: float) -> bool:
-    """Bind waiting tasks to runners that have room; returns whether the pass has seen all."""
-    for job_id in list(state.timed):
+    """Bind waiting tasks to runners with free capacity; return whether the pass is complete."""
+    for job_id in list(state.recurring_jobs):
         _open_due(state, state.jobs[job_id], time_of_day_ms)
     if not state.ready:
         state.starts.held_back = False
         return True
-    pools = _heard_pools(state, now)
+    pools = _responsive_pools(state, now)
     current = state.placing
-    current.begin_part(state.starts.room(state.starts_waiting_bytes(), now))
+    current.begin_part(state.starts.room(state.pending_start_bytes(), now))
     ready = [(_rank(state, state.jobs[job_id], now), state.jobs[job_id]) for job_id in state.ready]
-    ready.sort(key=lambda one: one[0])
+    ready.sort(key=lambda ranked: ranked[0])
     if state.starts.held_back and not current.spent:
         in_time = any(rank[3][0] <= Prospect.FRESH for rank, job in ready if not job.lasting)
-        every_s = TURN_EVERY_S if in_time else LATE_TURN_EVERY_S
-        if now - state.starts.turn_at >= every_s:
+        interval_s = TURN_INTERVAL_S if in_time else LATE_TURN_INTERVAL_S
+        if now - state.starts.turn_at >= interval_s:
             _give_turn(state, pools, current, now)
     for rank, job in ready:
         _place_job(state, job, Prospect(max(0, rank[3][0])), pools, current, now)
         if current.spent:
-            return _part_ended(state, current)
+            return _end_part(state, current)
     state.placing = PlacingPass()
     state.starts.held_back = False
     return True
 
 
-def _heard_pools(state: Scheduler, now: float) -> dict[ServiceName, list[RunnerState]]:
-    """Return the runners that may get new work, but for zones that seem to be cut off just now.
+def _responsive_pools(state: Scheduler, now: float) -> dict[ServiceName, list[RunnerState]]:
+    """Return the runners that may receive new work, without zones that seem partitioned.
 
-    What is started there waits for its lease to pass, or for the end of the cut.
+    A task started in a partitioned zone waits until its lease expires or the partition ends.
     """
     pools, silent = state.pools(now), state.starts.silent_zones(now)
     if not silent:
         return pools
     return {
-        service: [one for one in pool if one.entry.availability_zone not in silent] or pool
+        service: [runner for runner in pool if runner.entry.availability_zone not in silent] or pool
         for service, pool in pools.items()
     }
 
@@ -162,28 +167,28 @@
     current: PlacingPass,
     now: float,
 ) -> None:
-    """Start one task of the job that got no start for longest, while the link is the bound.
+    """Start one task of the job that has waited longest for a start while the link is saturated.
 
-    By the order of work alone what stands last gets nothing until all else was started, beside
-    runners that are free: 8 s were seen, with links of 1 to 2 Mbit/s.
+    By the order of work alone, the last job gets nothing until all others are started, although
+    runners are free: with links of 1 to 2 Mbit/s this took 8 s.
     """
     waiting = [state.jobs[job_id] for job_id in state.ready]
-    late = [job for job in waiting if not job.lasting and now - job.started_at >= TURN_AFTER_S]
+    late = [job for job in waiting if not job.lasting and now - job.started_at >= TURN_WAIT_S]
     if not late:
         return
     state.starts.turn_at = now
-    # With one byte left its first start ends it.
+    # A budget of one byte ends this pass with its first start.
     turn = PlacingPass(bytes_left=1.0)
-    job = min(late, key=lambda one: one.started_at)
+    job = min(late, key=lambda late_job: late_job.started_at)
     _place_job(state, job, Prospect.HOPELESS, pools, turn, now)
-    current.left -= MOST_WEIGHED - turn.left
+    current.pairs_left -= MOST_WEIGHED - turn.pairs_left
     current.bytes_left -= 1.0 - turn.bytes_left
 
 
-def _part_ended(state: Scheduler, current: PlacingPass) -> bool:
+def _end_part(state: Scheduler, current: PlacingPass) -> bool:
     state.starts.held_back = current.link_full
     if current.link_full:
-        # Nothing was passed over for lack of time: the next part begins with what comes first then.
+        # The pair budget did not run out: the next part starts with the jobs then first in order.
         state.placing = PlacingPass()
     return False
 
@@ -203,59 +208,63 @@
     current: PlacingPass,
     now: float,
 ) -> None:
-    gathers = state.uses(Mechanism.GATHERING) and job.lasting and not job.begun
-    if gathers and now - job.accepted_at < GATHER_LASTING_S:
+    batched = state.uses(Mechanism.LASTING_BATCHES) and job.lasting and not job.begun
+    if batched and now - job.accepted_at < LASTING_BATCH_S:
         return
     service = state.service_of(job)
     runners = pools.get(service, [])
     still_waits = False
-    for held in list(job.rounds.values()):
-        for number, step in list(held.ready()):
+    for round_state in list(job.rounds.values()):
+        for number, step in list(round_state.ready()):
             kind = (service, step.spec.image)
-            tried = StepKey(job.id, held.number, number)
-            # Lasting tasks are few, and none may wait while there is room for it.
-            missed = current.misses.get(kind, 0) >= MISSES and not step.spec.lasting
-            back = step.spec.lasting and job.begun
-            if missed or current.was_tried(tried, back, now):
+            tried = StepKey(job.id, round_state.number, number)
+            # Lasting tasks are few, and none may wait while there is free capacity for it.
+            missed = current.misses.get(kind, 0) >= MAX_MISSES and not step.spec.lasting
+            resumes = step.spec.lasting and job.begun
+            if missed or current.was_tried(tried, resumes, now):
                 still_waits = True
                 continue
             if step.spec.fills and _was_refused(state, kind, step, now):
                 _claim(state, current.claimed, kind, prospect)
                 still_waits = True
                 continue
-            # What has more to gain waits for the next place of its image: no less takes it.
+            # Leave the next place of this image to the job of better prospect that waits for it.
             if step.spec.fills and current.claimed.get(kind, prospect) < prospect:
                 still_waits = True
                 continue
-            placed = _place_step(state, job, held.number, number, step, runners, current, now)
-            if placed is Placed.ALL:
+            placed = _place_step(
+                state, job, round_state.number, number, step, runners, current, now
+            )
+            if placed is PlacingResult.ALL:
                 continue
             still_waits = True
-            if placed is Placed.PART_SPENT:
+            if placed is PlacingResult.PART_SPENT:
                 return
-            if placed is Placed.HELD_BACK:
-                # Its pause says nothing of room: it is neither tried nor missed.
+            if placed is PlacingResult.HELD_BACK:
+                # The step waits for another reason than capacity: record neither a try nor a miss.
                 continue
             current.tried[tried] = now
             current.misses[kind] = current.misses.get(kind, 0) + 1
             if step.spec.fills:
                 _claim(state, current.claimed, kind, prospect)
                 until = now + FILLER_RETRY_S
-                state.no_place[kind] = NoPlace(step.spec.millicores, until)
+                state.filler_refusals[kind] = FillerRefusal(step.spec.millicores, until)
     if not still_waits:
         state.ready.pop(job.id, None)
 
 
 def _claim(state: Scheduler, claimed: dict[Kind, Prospect], kind: Kind, prospect: Prospect) -> None:
-    """Let a job that found no place have the next one of its kind before any of less prospect."""
+    """Reserve the next place of a kind for jobs of this prospect or a better one."""
     if state.uses(Mechanism.CLAIMS):
         claimed.setdefault(kind, prospect)
 
 
 def _was_refused(state: Scheduler, kind: Kind, step: StepState, now: float) -> bool:
-    """Tell whether such a filler found no place a moment ago."""
-    held = state.no_place.get(kind)
-    return held is not None and now < held.until and step.spec.millicores >= held.millicores
+    """Return whether a filler of this kind and at most this size was refused moments ago."""
+    refusal = state.filler_refusals.get(kind)
+    return (
+        refusal is not None and now < refusal.until and step.spec.millicores >= refusal.millicores
+    )
 
 
 def _place_step(
@@ -267,109 +276,112 @@
     runners: list[RunnerState],
     current: PlacingPass,
     now: float,
-) -> Placed:
+) -> PlacingResult:
     if step.spec.gang:
-        current.left -= len(runners) * len(step.tasks)
-        found = place_gang(state, job, round_number, number, step, runners, now)
-        if found:
-            one = state.start_bytes(TaskKey(job.id, round_number, number, 0))
-            current.bytes_left -= one * len(step.tasks)
-        return Placed.ALL if found else Placed.NO_PLACE
-    held = step.per_runner() if step.spec.max_per_instance else {}
+        current.pairs_left -= len(runners) * len(step.tasks)
+        gang_placed = place_gang(state, job, round_number, number, step, runners, now)
+        if gang_placed:
+            task_bytes = state.start_bytes(TaskKey(job.id, round_number, number, 0))
+            current.bytes_left -= task_bytes * len(step.tasks)
+        return PlacingResult.ALL if gang_placed else PlacingResult.NO_PLACE
+    tasks_per_runner = step.per_runner() if step.spec.max_per_instance else {}
     held_back = False
     ranking: Ranking | None = None
-    # Tasks that ran before come first: the reserve binds the others only.
-    for index in sorted(step.waiting, key=lambda one: step.tasks[one].run == 0):
+    # Tasks that ran before come first: the reserve applies to the others only.
+    for index in sorted(step.waiting, key=lambda waiting_index: step.tasks[waiting_index].run == 0):
         task = step.tasks[index]
         key = TaskKey(job.id, round_number, number, index)
         if task.not_before > now:
             held_back = True
             continue
         if current.spent:
-            return Placed.PART_SPENT
+            return PlacingResult.PART_SPENT
         request = PlacementRequest(
             step.spec,
-            held,
+            tasks_per_runner,
             task.refused_by,
             reserve=0 if task.run else state.reserve,
             task=key,
             service=state.service_of(job),
         )
         if starts_apart(task.crashes):
-            current.left -= len(runners)
+            current.pairs_left -= len(runners)
             runner = place_apart(state, key, task, request, runners, now)
             if runner is None and not waits_apart(task, now):
-                runner = _after_a_run(state, task, request, runners, now)
+                runner = _choose_for_rerun(state, task, request, runners, now)
             if runner is None:
-                # That it finds no runner for itself says nothing of the others of its step.
+                # Other tasks of the step need no exclusive runner and may still find a place.
                 held_back = True
                 continue
         elif task.run:
-            # Where it failed, or where it is to move, sets it apart from the others of its step.
-            current.left -= len(runners)
-            runner = _after_a_run(state, task, request, runners, now)
+            # Its failed runner or its destination distinguishes it from other tasks of the step.
+            current.pairs_left -= len(runners)
+            runner = _choose_for_rerun(state, task, request, runners, now)
         else:
-            current.left -= len(runners) if ranking is None else 1
+            current.pairs_left -= len(runners) if ranking is None else 1
             ranking = ranking or Ranking(request, runners, state.contention, now)
             runner = ranking.best()
         if runner is None:
             if task.wanted != NO_RUNNER:
                 held_back = True
                 continue
-            return Placed.NO_PLACE
-        held[runner.id] = held.get(runner.id, 0) + 1
+            return PlacingResult.NO_PLACE
+        tasks_per_runner[runner.id] = tasks_per_runner.get(runner.id, 0) + 1
         bind(state, job, key, task.run + 1, runner, now)
         current.bytes_left -= state.start_bytes(key)
-        if step.spec.target_ms and state.uses(Mechanism.MAKING_WAY):
+        if step.spec.target_ms and state.uses(Mechanism.YIELDING):
             make_way(state, runner, step.spec.image, now)
         if ranking is not None:
-            ranking.best_changed()
-    return Placed.HELD_BACK if held_back else Placed.ALL
+            ranking.rescore_best()
+    return PlacingResult.HELD_BACK if held_back else PlacingResult.ALL
 
 
-def _after_a_run(
+def _choose_for_rerun(
     state: Scheduler,
     task: TaskState,
     request: PlacementRequest,
     runners: list[RunnerState],
     now: float,
 ) -> RunnerState | None:
-    """Return the runner for a task that ran before; one that is suspect goes where no other is."""
+    """Return the runner for a task that ran before; a suspect prefers one without suspects."""
     if own_marks(task.crashes):
-        found = _wanted(state, task, request, without_suspects(runners), now)
+        found = _choose_destination(state, task, request, without_suspects(runners), now)
         if found is not None:
             return found
-    return _wanted(state, task, request, runners, now)
+    return _choose_destination(state, task, request, runners, now)
 
 
-def _wanted(
+def _choose_destination(
     state: Scheduler,
     task: TaskState,
     request: PlacementRequest,
     runners: list[RunnerState],
     now: float,
 ) -> RunnerState | None:
-    """Return the runner that a moved task was meant for, or the best one."""
-    meant = [one for one in runners if one.id == task.wanted]
-    found = choose(request, meant, state.contention, now)
-    if found is None and meant and now < task.wanted_until:
+    """Return the destination of a moved task, or the best runner once its reservation expired."""
+    destinations = [runner for runner in runners if runner.id == task.wanted]
+    found = choose(request, destinations, state.contention, now)
+    if found is None and destinations and now < task.wanted_until:
         return None
     found = found or choose(request, runners, state.contention, now)
     if found is None and request.step.lasting and task.run:
-        # Back at work anywhere is better than none: its runner may have failed by the task's fault.
-        others = state.distrusted(request.service, now)
-        found = choose(request, others, state.contention, now)
+        # A quarantined runner is better than none for a lasting task that has to resume: the
+        # task itself may have caused its runner's failure.
+        quarantined_runners = state.distrusted(request.service, now)
+        found = choose(request, quarantined_runners, state.contention, now)
     return found
 
 
 def has_harmless_place(state: Scheduler, key: TaskKey, away_from: RunnerId, now: float) -> bool:
-    """Tell whether a filler could work somewhere else without slowing what serves."""
+    """Return whether a filler could run on another runner without slowing serving tasks."""
     job = state.jobs[key.job]
     step = job.record.workflow.steps[key.step]
     pool = state.pools(now).get(state.service_of(job), [])
-    # Any will do: the look ends at the first, where the best would be sought among all.
+    # Any runner will do: the search ends at the first, without ranking all of them.
     return any(
-        slows_nothing(step, one, state.contention, now) for one in pool if one.id != away_from
+        slows_nothing(step, runner, state.contention, now)
+        for runner in pool
+        if runner.id != away_from
     )
 
 
@@ -377,7 +389,7 @@
     policy = state.routes.get(job.record.route)
     priority = policy.priority if policy is not None else job.record.priority
     if job.lasting:
-        # Back at work first after any loss; a job that never ran takes what short ones leave.
+        # A job that lost its runner goes first; one that never ran gets what short jobs leave.
         if job.begun:
             return (priority, 0, "", (-1, job.order))
         return (priority, 1, job.record.workflow.steps[0].image, (0, job.order))
--- a/spoolcrank/placing_pass.py
+++ b/spoolcrank/placing_pass.py
@@ -1,4 +1,4 @@
-"""Bound one pass over waiting work, and remember what it tried until it has seen everything."""
+"""Limit the work of each part of a pass over waiting tasks, and record what the pass has tried."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,22 +10,23 @@
 from spoolcrank.workflow import StepKey
 
 Kind = tuple[ServiceName, str]
-"""A service and an image: tasks of one kind compete for the same places."""
+"""A service and an image: tasks of one kind compete for the same capacity."""
 
 MOST_WEIGHED = 20_000
-"""A part of a pass ends once so many pairs of task and runner were weighed, and the next follows
-after what has arrived meanwhile: at 6 microseconds a pair 0.12 s on a whole core, 0.4 s on the
-smallest instance. In one go 2,128 tasks over 350 runners took 4.5 s, in which nothing was written
-or read; others claim the lead after 1.3 s."""
+"""Number of pairs of task and runner that one part of a pass may evaluate; the leader handles what
+has arrived meanwhile before the next part. At 6 microseconds a pair, a part takes 0.12 s on a whole
+core and 0.4 s on the smallest instance. Without parts, 2,128 tasks over 350 runners took 4.5 s
+during which the leader wrote and read nothing; others claim leadership after 1.3 s."""
 
 
-TRIED_S = 0.5
-"""A lasting task that ran before is tried again so long after it found no place, s, also within a
-pass: room that came free meanwhile is for it first."""
+RETRY_LASTING_S = 0.5
+"""Delay before a lasting task that ran before and found no runner is tried again, seconds. The
+retry may come within the same pass, so that such a task is first to get capacity freed
+meanwhile."""
 
 
-class Placed(Enum):
-    """What became of the waiting tasks of one step."""
+class PlacingResult(Enum):
+    """Outcome of placing the waiting tasks of one step."""
 
     ALL = "all"
     HELD_BACK = "held-back"
@@ -33,8 +34,8 @@
     PART_SPENT = "part-spent"
 
 
-class NoPlace(NamedTuple):
-    """Fillers of an image that want so much or more found no place; not tried before a time."""
+class FillerRefusal(NamedTuple):
+    """Smallest filler of an image that was refused, and when fillers that large are tried again."""
 
     millicores: int
     until: float
@@ -45,38 +46,42 @@
     """One pass over all waiting work, in parts.
 
     Attributes:
-        left: pairs of task and runner that the present part may still weigh.
-        bytes_left: of starts that it may still bind, as the leader's link takes them.
-        misses: by kind, how many steps found no place in this part. Those of an earlier part say
-            nothing of a job that came since.
-        claimed: by kind, the prospect of the first job that found none.
-        tried: when steps found no place, monotonic seconds; no later part tries them again, so
-            that each part comes further than the last one.
+        pairs_left: number of pairs of task and runner that the current part may still evaluate.
+        bytes_left: size of the starts that the current part may still bind, limited by the
+            capacity of the leader's link.
+        misses: by kind, number of steps that found no runner in the current part. Misses of an
+            earlier part do not predict the result for a job that arrived since.
+        claimed: by kind, the prospect of the first job that found no runner.
+        tried: by step, when it found no runner, monotonic seconds. Later parts do not try these
+            steps again, so that each part gets further than the previous one.
     """
 
-    left: int = MOST_WEIGHED
+    pairs_left: int = MOST_WEIGHED
     bytes_left: float = math.inf
     misses: dict[Kind, int] = field(default_factory=dict)
     claimed: dict[Kind, Prospect] = field(default_factory=dict)
     tried: dict[StepKey, float] = field(default_factory=dict)
 
     def begin_part(self, bytes_left: float = math.inf) -> None:
-        """Begin the next part."""
-        self.left = MOST_WEIGHED
+        """Reset the limits and misses for the next part."""
+        self.pairs_left = MOST_WEIGHED
         self.bytes_left = bytes_left
         self.misses.clear()
 
     def was_tried(self, step: StepKey, again: bool, now: float) -> bool:
-        """Tell whether a step found no place in this pass; one to be tried again, a moment ago."""
+        """Return whether to skip a step that found no runner in this pass.
+
+        With `again`, a step is skipped only until RETRY_LASTING_S has passed.
+        """
         tried_at = self.tried.get(step)
-        return tried_at is not None and not (again and now - tried_at >= TRIED_S)
+        return tried_at is not None and not (again and now - tried_at >= RETRY_LASTING_S)
 
     @property
     def spent(self) -> bool:
-        """Tell whether the present part has to end."""
-        return self.left <= 0 or self.link_full
+        """Return whether the current part has to end."""
+        return self.pairs_left <= 0 or self.link_full
 
     @property
     def link_full(self) -> bool:
-        """Tell whether no more starts may be bound now."""
+        """Return whether the link is saturated, so that no more starts may be bound now."""
         return self.bytes_left <= 0
--- a/spoolcrank/ranking.py
+++ b/spoolcrank/ranking.py
@@ -1,10 +1,10 @@
-"""Choose runners for all tasks of one step by one evaluation of the runners.
+"""Choose runners for all tasks of one step with a single evaluation of the runners.
 
-Pattern: wide jobs over many runners. The tasks of a step want the same, and binding one of them
-changes one runner only, so that the order of all others still holds. Weighing every runner anew
-for each task took 37 to 57 % of a leader's busy time over 270 runners (its stack sampled on three
-days), and what waits behind a pass starts later. The choice is exactly that of `packing.choose`
-for one task after the other.
+This serves wide jobs over many runners. All tasks of a step have the same needs, and binding one of
+them changes only one runner, so that the order of the others stays valid. Evaluating every runner
+for each task took 37 to 57 % of a leader's busy time over 270 runners (stack samples of three
+days), which delayed all work that waited for the end of the pass. The result is exactly that of
+calling `packing.choose` for one task after the other.
 """
 
 from bisect import insort
@@ -16,10 +16,10 @@
 
 
 class Ranking:
-    """The runners that may take a task of one step, best first.
+    """The runners that may execute a task of one step, ordered by score.
 
-    Valid while nothing but `changed` runners changes: within one decision, for requests that differ
-    in their task only.
+    A ranking is valid within one decision, for requests that differ only in their task, as long as
+    no runner changes without a call of `rescore_best`.
     """
 
     def __init__(
@@ -35,20 +35,22 @@
         self._now = now
         self._demand = request.step.demand
         scores = map(self._score, runners)
-        # Of equal ones the first runner comes last, as the best is taken from the end.
-        self._order = [(found, -place) for place, found in enumerate(scores) if found]
+        # The best runner is taken from the end, so that among equal scores the first runner wins.
+        self._order = [
+            (runner_score, -index) for index, runner_score in enumerate(scores) if runner_score
+        ]
         self._order.sort()
 
     def _score(self, runner: RunnerState) -> tuple[float, ...]:
         return score(self._request, self._demand, runner, self._contention, self._now)
 
     def best(self) -> RunnerState | None:
-        """Return the runner for the next task, or None if it has to wait."""
+        """Return the best runner for the next task, or None if the task has to wait."""
         return self._runners[-self._order[-1][1]] if self._order else None
 
-    def best_changed(self) -> None:
-        """Weigh the best runner anew: a task was bound to it."""
-        _, place = self._order.pop()
-        found = self._score(self._runners[-place])
-        if found:
-            insort(self._order, (found, place))
+    def rescore_best(self) -> None:
+        """Score the best runner again after a task was bound to it."""
+        _, negative_index = self._order.pop()
+        runner_score = self._score(self._runners[-negative_index])
+        if runner_score:
+            insort(self._order, (runner_score, negative_index))
--- a/spoolcrank/scheduler.py
+++ b/spoolcrank/scheduler.py
@@ -1,8 +1,8 @@
-"""Schedule jobs on runners: the state of the leader and what it decides, without any I/O.
+"""Schedule jobs on runners: the state of the leader and its decisions, without any I/O.
 
-A start goes out only after its record is kept, and an end may be forgotten by its runner only
-after that. So whatever this process leaves half done, its successor finds in the records or
-on the runners.
+The leader sends a start only after the start's record is stored, and lets a runner forget an ended
+run only after the end is stored. The next leader therefore finds everything that this process
+leaves unfinished either in the records or on the runners.
 """
 
 import math
@@ -18,7 +18,7 @@
 from spoolcrank.notes import Note
 from spoolcrank.objective import objective_s
 from spoolcrank.orders import Order, Start, Stop, Target
-from spoolcrank.placing_pass import NoPlace, PlacingPass
+from spoolcrank.placing_pass import FillerRefusal, PlacingPass
 from spoolcrank.runner_ids import FENCES_A_TERM, FenceRanks
 from spoolcrank.runner_state import (
     CLOCK_DRIFT,
@@ -44,12 +44,13 @@
 )
 
 INHERITED_S = (SELF_FENCE_S + LEASE_MS / 1000.0) * (1.0 + 1.5 * CLOCK_DRIFT)
-"""A runner that this leader never reached runs nothing any more so long after the last write
-of the earlier leader, s: that one extends for SELF_FENCE_S at most, by LEASE_MS at most."""
+"""Time after the last write of the previous leader at which a runner that this leader has never
+reached no longer runs anything, seconds. After that write the previous leader extends leases for
+at most SELF_FENCE_S, each by at most LEASE_MS; the factor allows for clock drift."""
 
 
 class RoutePolicy(NamedTuple):
-    """What the configuration in force says of one queue."""
+    """Settings of one queue in the active configuration."""
 
     service: ServiceName
     priority: int
@@ -57,7 +58,7 @@
 
 
 class Scheduler:
-    """What one leader knows and decides during its term."""
+    """State and decisions of one leader during its term."""
 
     def __init__(
         self, term: int, now: float, predecessor_wrote_at: float, lease_ms: int = LEASE_MS
@@ -82,21 +83,21 @@
         self.notes: list[Note] = []
         self.ready: dict[JobId, None] = {}
         self.placing = PlacingPass()
-        self.no_place: dict[tuple[ServiceName, str], NoPlace] = {}
+        self.filler_refusals: dict[tuple[ServiceName, str], FillerRefusal] = {}
         self.unkept = Unkept()
         self.crashes = CrashRecord(now)
         self.starts = StartWindow()
         self.ended: list[tuple[float, JobId]] = []
-        self.timed: dict[JobId, None] = {}
+        self.recurring_jobs: dict[JobId, None] = {}
         self.learnt_at = now
-        self.backlog_told_at = -math.inf
+        self.backlog_logged_at = -math.inf
 
     def note(self, name: str, **fields: Any) -> None:
-        """Keep one decision for the log."""
+        """Append a log event for one decision."""
         self.notes.append(Note(name, fields))
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is in use."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.without
 
     # Jobs
@@ -111,7 +112,7 @@
         now: float,
         time_of_day_ms: float,
     ) -> None:
-        """Take a job from the records, with what earlier leaders did of it."""
+        """Add a job from the records, with the progress made under earlier leaders."""
         if job_id in self.jobs:
             return
         job = JobState(job_id, record, order)
@@ -128,7 +129,7 @@
             self.ended.append((now, job_id))
             return
         if record.workflow.rounds:
-            self.timed[job_id] = None
+            self.recurring_jobs[job_id] = None
         job.open_due(time_of_day_ms)
         self.ready[job_id] = None
         if cancelled:
@@ -149,10 +150,10 @@
             runner.apart_for = key
 
     def new_run(self, job: JobState, key: TaskKey, number: int, stage: RunStage, now: float) -> Run:
-        """Return a run of a task as it counts against a runner."""
+        """Return a new run of a task, with the resources that it takes on a runner."""
         step = job.rounds[key.round].steps[key.step]
         spec = step.spec
-        marks = step.accountable(key.number).crashes
+        evidence = step.accountable(key.number).crashes
         return Run(
             number,
             stage,
@@ -166,28 +167,28 @@
             checkpoints=spec.checkpoints,
             load=step.load,
             bound_at=now,
-            marked=bool(marks),
-            suspect=bool(own_marks(marks)),
+            marked=bool(evidence),
+            suspect=bool(own_marks(evidence)),
         )
 
     def cancel(self, job_id: JobId, now: float) -> None:
-        """End a job at its submitter's wish."""
+        """End a job that its submitter cancelled; do nothing if it is unknown or has ended."""
         job = self.jobs.get(job_id)
         if job is None or job.phase in FINAL:
             return
         self.end_job(job, JobPhase.CANCELLED, now)
 
     def give_up(self, job: JobState, now: float) -> None:
-        """End a job as failed, with all that is left of it."""
+        """End a job as failed and stop its remaining runs."""
         if job.phase not in FINAL:
             self.end_job(job, JobPhase.FAILED, now)
 
     def end_job(self, job: JobState, phase: JobPhase, now: float) -> None:
-        """End a job, with all that is left of it."""
+        """End a job in the given phase and stop its remaining runs."""
         job.phase = phase
         self.unkept.change(job.id)
         self.ready.pop(job.id, None)
-        self.timed.pop(job.id, None)
+        self.recurring_jobs.pop(job.id, None)
         job.drop_preassigned()
         self.ended.append((now, job.id))
         self.note("job-ended", job=job.id, phase=phase.value)
@@ -195,30 +196,30 @@
             self.stop_run(key, task.runner, now)
 
     def service_of(self, job: JobState) -> ServiceName:
-        """Return the service whose runners take a job now."""
+        """Return the service whose runners currently execute a job."""
         policy = self.routes.get(job.record.route)
         return policy.service if policy is not None else job.record.service
 
     def routed(self, service: ServiceName) -> bool:
-        """Tell whether any queue in force sends work to a service."""
+        """Return whether any configured queue sends work to a service."""
         return any(policy.service == service for policy in self.routes.values())
 
     def services(self) -> frozenset[ServiceName] | None:
-        """Return the services that work is sent to; None, for any, before a configuration."""
+        """Return the services that receive work, or None (any) before a configuration is read."""
         if not self.routes:
             return None
         named = {policy.service for policy in self.routes.values()}
         return frozenset(named | {job.record.service for job in self.jobs.values()})
 
     def max_attempts(self, job: JobState) -> int:
-        """Return how many runs of one task may fail."""
+        """Return the maximum number of failed runs of one task."""
         policy = self.routes.get(job.record.route)
         return policy.max_attempts if policy is not None else job.record.max_attempts
 
     # Runners
 
     def meet(self, entry: RunnerEntry, now: float, listed: bool = True) -> RunnerState:
-        """Return the state of an incarnation of a runner that was not known."""
+        """Register a new incarnation of a runner and return its state."""
         runner = RunnerState(
             entry,
             rank=self.ranks.meet(entry.id),
@@ -231,24 +232,24 @@
         return runner
 
     def empty_zones(self, zones: frozenset[AvailabilityZone]) -> None:
-        """Start nothing more in some zones; what runs there goes on."""
+        """Start nothing more in the given availability zones; tasks already there keep running."""
         self.emptied = zones
         for runner in self.runners.values():
             runner.emptied = runner.entry.availability_zone in zones
 
     def target(self, runner: RunnerState) -> Target:
-        """Return where orders to a runner go."""
+        """Return the address and fence for orders to a runner."""
         fence = self.term * FENCES_A_TERM + runner.rank
         return Target(runner.id, runner.entry.address, fence)
 
     def outranked_by_itself(self, target: Target) -> bool:
-        """Tell whether a later incarnation of a runner has a higher fence of this leader."""
+        """Return whether this leader gave a later incarnation of the runner a higher fence."""
         return target.fence < self.term * FENCES_A_TERM + self.ranks.newest(target.runner)
 
     # Runs
 
     def release(self, key: TaskKey, runner: RunnerState, why: str, now: float) -> None:
-        """Free a run that surely is not, and never will be, on its runner."""
+        """Release a run that certainly is not, and never will be, on its runner."""
         run = runner.remove(key)
         job = self.jobs.get(key.job)
         if run is None or job is None or not job.has(key):
@@ -260,7 +261,7 @@
             self.wait_again(job, key, task)
 
     def wait_again(self, job: JobState, key: TaskKey, task: TaskState) -> None:
-        """Let a task wait for a runner again."""
+        """Return a task to the tasks that wait for a runner."""
         task.phase = Phase.WAITING
         task.runner = NO_RUNNER
         job.rounds[key.round].steps[key.step].waiting[key.number] = None
@@ -269,7 +270,10 @@
             self.ready[job.id] = None
 
     def stop_run(self, key: TaskKey, runner_id: RunnerId, now: float) -> None:
-        """Order a run to stop; its end is listed, or it never starts."""
+        """Stop a run, or release it at once if its start was not ordered yet.
+
+        A stopped run either appears in its runner's list of ends or never starts.
+        """
         runner = self.runners.get(runner_id)
         run = runner.runs.get(key) if runner is not None else None
         if runner is None or run is None:
@@ -285,7 +289,7 @@
         self.order_stop(key, runner, run)
 
     def order_stop(self, key: TaskKey, runner: RunnerState, run: Run) -> None:
-        """Send the stop of a run; one not taken over yet is told once it is."""
+        """Order a runner to stop a run; a runner not taken over yet gets the order afterwards."""
         run.tries += 1
         if not runner.adopted:
             return
@@ -293,35 +297,37 @@
         self.orders.append(Stop(self.target(runner), key, run.number))
 
     def order_start(self, key: TaskKey, runner: RunnerState, run: Run, now: float) -> None:
-        """Send the start of a run whose record is kept."""
+        """Order a runner to start a run whose record is stored."""
         job = self.jobs[key.job]
         task, payload = job.task(key), job.record.workflow.payload
         run.tries += 1
         run.in_flight = True
         if run.ordered_at is None:
             run.ordered_at = now
-        # Without the store another may lead by now: it counts on no lease being granted any more.
+        # While the store is unreachable, another process may have become leader, which relies on
+        # this one granting no further leases.
         extends = now <= self.extends_until
         until_ms = runner.grant(now) if extends else int(runner.granted_ms)
-        # A second try goes to who left the first one unanswered: others don't wait for it.
+        # A retry goes to a runner that did not answer the first attempt: it takes none of the
+        # link's window, so that other runners' starts do not wait for it.
         size = START_BYTES + len(payload) + len(task.saved) if run.tries == 1 else 0
         self.starts.sent(key, run.number, size, now, runner.entry.availability_zone)
         to = self.target(runner)
         self.orders.append(Start(to, key, run.number, payload, task.saved, until_ms))
 
     def start_bytes(self, key: TaskKey) -> int:
-        """Return about how large the order to start a task is."""
+        """Return the approximate size of the order to start a task, bytes."""
         job = self.jobs.get(key.job)
         payload = job.record.workflow.payload if job is not None else ""
         return START_BYTES + len(payload)
 
-    def starts_waiting_bytes(self) -> int:
-        """Return how much is bound and not on its way yet, bytes."""
+    def pending_start_bytes(self) -> int:
+        """Return the size of the starts that are bound but not sent yet, bytes."""
         bound = (*self.starts.waiting, *self.unkept.starts)
-        return sum(self.start_bytes(one.task) for one in bound)
+        return sum(self.start_bytes(bound_run.task) for bound_run in bound)
 
     def pools(self, now: float) -> dict[ServiceName, list[RunnerState]]:
-        """Return the runners that may get new work, by service."""
+        """Return the runners that may receive new work, by service."""
         pools: dict[ServiceName, list[RunnerState]] = {}
         for runner in self.runners.values():
             if runner.usable(now):
@@ -329,7 +335,7 @@
         return pools
 
     def distrusted(self, service: ServiceName, now: float) -> list[RunnerState]:
-        """Return the runners of a service that failed oddly but could take work."""
+        """Return the quarantined runners of a service that are reachable and could take work."""
         return [
             runner
             for runner in self.runners.values()
@@ -337,5 +343,5 @@
         ]
 
     def waiting_jobs(self) -> Iterable[JobState]:
-        """Return the jobs that have tasks waiting for a place."""
+        """Return the jobs that have tasks waiting for a runner."""
         return (self.jobs[job_id] for job_id in self.ready)
--- a/tests/test_emptied_zones.py
+++ b/tests/test_emptied_zones.py
@@ -1,4 +1,4 @@
-"""Zones that the operator empties: nothing more starts there until the wish is taken back."""
+"""Evacuated availability zones: nothing starts there until the operator ends the evacuation."""
 
 import pytest
 
@@ -11,7 +11,8 @@
 WIDE = Step(count=6, millicores=1000, memory_mb=100, estimate_ms=600)
 LASTING = Step(count=4, millicores=1000, memory_mb=100, lasting=True)
 SOON_S = 0.5
-"""Orders on their way when the wish is read are carried out within that, s; stated are 5."""
+"""Time within which orders in flight when the evacuation is read are carried out, seconds; the
+stated limit is 5 s."""
 
 ZONE = AvailabilityZone("b")
 
@@ -28,22 +29,26 @@
 
 
 def _empty(world: World, *zones: AvailabilityZone) -> None:
-    for one in world.instances.values():
-        one.dispatcher.empty_zones(frozenset(zones))
+    for instance in world.instances.values():
+        instance.dispatcher.empty_zones(frozenset(zones))
 
 
 def _submit(world: World, seconds: float) -> list[str]:
-    one = next(iter(world.instances.values()))
+    instance = next(iter(world.instances.values()))
     jobs = []
     for number in range(round(seconds / 0.2)):
         jobs.append(f"{len(world.starts):04x}{number:04x}")
-        one.submit(jobs[-1], WIDE)
+        instance.submit(jobs[-1], WIDE)
         world.run(0.2)
     return jobs
 
 
 def _starts_there(world: World) -> int:
-    return sum(len(one.above) + len(one.tasks) for one in world.runners.values() if one.zone == "b")
+    return sum(
+        len(runner.above) + len(runner.tasks)
+        for runner in world.runners.values()
+        if runner.zone == "b"
+    )
 
 
 @pytest.mark.parametrize("takeover", [False, True], ids=["one leader", "the next leader too"])
@@ -61,7 +66,7 @@
         world.run_until(lambda: world.leader() is not None)
     jobs = _submit(world, 3.0)
     world.run(6.0)
-    ended = {key for one in world.runners.values() if one.zone == "b" for key in one.above}
+    ended = {key for runner in world.runners.values() if runner.zone == "b" for key in runner.above}
     assert not any(key.job in jobs for key in ended)
     assert _starts_there(world) <= before
     index = next(iter(world.instances.values())).index
@@ -69,7 +74,7 @@
     assert world.broken == []
 
 
-def test_what_lasts_there_goes_on_and_work_comes_back_with_the_zone() -> None:
+def test_lasting_tasks_keep_running_and_starts_resume_when_the_evacuation_ends() -> None:
     world = _world()
     world.lasting_jobs = {"aaaa"}
     next(iter(world.instances.values())).submit("aaaa", LASTING)
@@ -84,7 +89,7 @@
     assert _starts_there(world) > before
 
 
-def test_the_wish_is_read_from_its_own_key_and_ends_with_it() -> None:
+def test_an_evacuation_is_read_from_its_own_key_and_ends_with_it() -> None:
     copy = KeyedLog()
     copy.load_page((KeyedRecord("config", b"{}", 0), KeyedRecord("evacuate/b", b"{}", 1)))
     copy.loaded_to(2)
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -1,4 +1,4 @@
-"""Decisions leave a busy leader's processor to the answers of runners between them."""
+"""Debouncing leaves processor time for reading runners' answers between decisions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 class _Time:
-    """A clock that decisions move, and timers that are fired by hand."""
+    """A clock that decisions advance, and timers that the test fires."""
 
     def __init__(self) -> None:
         self.now = 50.0
@@ -22,34 +22,34 @@
         return delay_s
 
 
-def _gathering(time: _Time, takes_s: list[float]) -> Gathering:
+def _debouncer(time: _Time, duration_s: list[float]) -> Gathering:
     timers: Any = time
 
     def decide() -> None:
-        time.now += takes_s[0]
+        time.now += duration_s[0]
 
     return Gathering(timers, lambda: time.now, decide)
 
 
 def test_many_events_make_one_decision() -> None:
     time = _Time()
-    gathering = _gathering(time, [0.0])
+    debouncer = _debouncer(time, [0.0])
     for _ in range(40):
-        gathering.wake()
+        debouncer.wake()
     assert len(time.due) == 1
     assert time.fire() == GATHER_S
 
 
-def test_the_longer_a_decision_takes_the_more_the_next_one_gathers() -> None:
+def test_delay_grows_with_the_duration_of_the_last_decision() -> None:
     time = _Time()
-    takes_s = [0.008]
-    gathering = _gathering(time, takes_s)
-    gathering.wake()
+    duration_s = [0.008]
+    debouncer = _debouncer(time, duration_s)
+    debouncer.wake()
     time.fire()
-    gathering.wake()
+    debouncer.wake()
     assert abs(time.fire() - GATHER_SHARE * 0.008) < 1e-9
-    takes_s[0] = 0.5
-    gathering.wake()
+    duration_s[0] = 0.5
+    debouncer.wake()
     time.fire()
-    gathering.wake()
+    debouncer.wake()
     assert time.fire() == MOST_GATHER_S
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""Where tasks go, what is learnt of pairs, who is held back, moved, or first in line."""
+"""Placement of tasks, learned interference, paces of fillers, moves, and the order of work."""
 
 import math
 import random
@@ -42,7 +42,7 @@
 NOW = 50.0
 SERVICE = ServiceName("pricing")
 SERVING = Step(count=1, millicores=6000, memory_mb=100, lasting=True, image="s", target_ms=100)
-LOUD = Step(count=1, millicores=4000, memory_mb=100, fills=True, image="loud", checkpoints=True)
+NOISY = Step(count=1, millicores=4000, memory_mb=100, fills=True, image="noisy", checkpoints=True)
 QUIET = Step(count=1, millicores=4000, memory_mb=100, fills=True, image="quiet")
 SHORT = Step(count=1, millicores=2000, memory_mb=100)
 
@@ -87,14 +87,14 @@
     return key
 
 
-def taught(loud: float = 8.0, quiet: float = 0.0) -> Contention:
-    """Return a contention that has seen enough reports of both fillers."""
+def taught(noisy: float = 8.0, quiet: float = 0.0) -> Contention:
+    """Return a contention model that has learned both fillers from 600 reports."""
     contention = Contention()
     chance = random.Random(1)
     load = StepLoad()
     for number in range(600):
         share = chance.uniform(0.05, 0.2)
-        image, weight = (("loud", loud), ("quiet", quiet))[number // 30 % 2]
+        image, weight = (("noisy", noisy), ("quiet", quiet))[number // 30 % 2]
         ratio = 0.35 * 2.718 ** (weight * share + chance.gauss(0, 0.2))
         contention.learn("s", load, ratio, {image: share}, float(number))
     return contention
@@ -105,16 +105,19 @@
     return found.id if found is not None else ""
 
 
-def test_weights_of_loud_and_quiet_pairs_are_told_apart() -> None:
+def test_weights_of_noisy_and_quiet_pairs_are_distinguished() -> None:
     contention = taught()
-    assert 5.0 < contention.weight("s", "loud") < 11.0
+    assert 5.0 < contention.weight("s", "noisy") < 11.0
     assert contention.weight("s", "quiet") < 0.1
-    assert contention.harmless("s", "loud") < 0.01
+    assert contention.harmless("s", "noisy") < 0.01
     assert contention.harmless("s", "quiet") > 0.95
 
 
 def test_a_slow_tail_beside_two_fillers_leaves_open_which_it_was() -> None:
-    """Each got half of the blame for good, and places that bore one stayed empty."""
+    """Blame for a tail used to stay split evenly between two fillers.
+
+    Runners that tolerate one of them then stayed empty.
+    """
     contention = Contention()
     load = StepLoad()
     ratio = 0.35 * 2.718 ** (8.0 * 0.1)
@@ -126,89 +129,92 @@
     assert contention.harmless("s", "b") > 0.7
 
 
-def test_the_next_leader_knows_the_pairs_that_the_last_one_learnt() -> None:
-    """Settlements earned least on days whose leaders were replaced: each began at the prior."""
+def test_the_next_leader_restores_the_learned_pairs() -> None:
+    """Each new leader began at the prior; serving jobs earned least on days with new leaders."""
     learnt = decode_learnt(encode_learnt(Learnt(taught().learnt()))).images
     successor = Contention()
     successor.restore(learnt)
-    assert successor.harmless("s", "loud") < 0.05
+    assert successor.harmless("s", "noisy") < 0.05
     assert successor.harmless("s", "quiet") > 0.9
     assert abs(successor.base("s") - taught().base("s")) < 0.01
 
 
-LOUD_USE = {"loud": 0.15}
+NOISY_USE = {"noisy": 0.15}
 
 
-def test_figures_of_the_same_half_second_teach_once() -> None:
+def test_reports_of_the_same_half_second_are_learned_once() -> None:
     one = runner("i-1")
     put(one, SERVING, tail_ms=95.0)
-    put(one, LOUD, job="cd")
+    put(one, NOISY, job="cd")
     state = leader(one, contention=Contention())
-    learn(state, one, LOUD_USE, NOW)
-    once = state.contention.weight("s", "loud")
-    learn(state, one, LOUD_USE, NOW + 0.1)
-    assert state.contention.weight("s", "loud") == once
-    learn(state, one, LOUD_USE, NOW + 0.6)
-    assert state.contention.weight("s", "loud") > once
+    learn(state, one, NOISY_USE, NOW)
+    once = state.contention.weight("s", "noisy")
+    learn(state, one, NOISY_USE, NOW + 0.1)
+    assert state.contention.weight("s", "noisy") == once
+    learn(state, one, NOISY_USE, NOW + 0.6)
+    assert state.contention.weight("s", "noisy") > once
+
 
+def test_fillers_are_slowed_before_a_task_serves_beside_them() -> None:
+    """Up to eleven fillers ran at full speed when a serving task arrived.
 
-def test_fillers_make_way_before_a_task_serves_beside_them() -> None:
-    """Up to eleven stood at full speed where serving tasks came; tails rose to 14 targets."""
+    Tail latencies then rose to 14 times their targets.
+    """
     one = runner("i-1")
-    loud = [put(one, LOUD, job=f"c{number}") for number in range(5)]
+    noisy = [put(one, NOISY, job=f"c{number}") for number in range(5)]
     quiet = put(one, QUIET, job="ef")
     state = leader(one)
     make_way(state, one, "s", NOW)
-    assert all(one.runs[key].pace < 50 for key in loud)
+    assert all(one.runs[key].pace < 50 for key in noisy)
     assert one.runs[quiet].pace == 100
 
 
 def test_fillers_get_no_faster_than_what_is_learnt_allows() -> None:
-    """A task that has just begun to serve shows a low tail whatever stands beside it."""
+    """A task that has just begun to serve reports a low tail whatever runs beside it."""
     one = runner("i-1")
     put(one, SERVING, tail_ms=5.0)
-    bound = msgspec.structs.replace(LOUD, checkpoints=False)
-    loud = [put(one, bound, job=f"c{number}") for number in range(6)]
+    bound = msgspec.structs.replace(NOISY, checkpoints=False)
+    noisy = [put(one, bound, job=f"c{number}") for number in range(6)]
     state = leader(one)
-    for key in loud:
+    for key in noisy:
         one.set_pace(one.runs[key], 10, NOW - 1)
         one.runs[key].used_millicores = 400.0
     for round_number in range(4):
         set_paces(state, one, NOW + round_number)
-        for key in loud:
+        for key in noisy:
             one.runs[key].used_millicores = 40.0 * one.runs[key].pace
-    assert sum(one.runs[key].pace for key in loud) < 200
+    assert sum(one.runs[key].pace for key in noisy) < 200
 
 
-def test_a_loud_filler_goes_where_nothing_serves_and_a_quiet_one_beside_it() -> None:
+def test_a_noisy_filler_goes_where_nothing_serves_and_a_quiet_one_beside_it() -> None:
     serving, free = runner("i-1"), runner("i-2")
     put(serving, SERVING)
-    assert place(LOUD, [serving, free], taught()) == "i-2"
+    assert place(NOISY, [serving, free], taught()) == "i-2"
     assert place(QUIET, [serving, free], taught()) == "i-1"
 
 
-def test_a_filler_slows_nothing_where_nothing_serves_and_a_loud_one_does_beside_it() -> None:
+def test_a_filler_slows_nothing_where_nothing_serves_and_a_noisy_one_does_beside_it() -> None:
     contention = Contention()
     empty, serving = runner("empty"), runner("serving")
     put(serving, SERVING)
-    assert slows_nothing(LOUD, empty, contention, NOW)
-    assert not slows_nothing(LOUD, serving, contention, NOW)
-    assert not slows_nothing(LOUD, runner("small", millicores=2000), contention, NOW)
+    assert slows_nothing(NOISY, empty, contention, NOW)
+    assert not slows_nothing(NOISY, serving, contention, NOW)
+    assert not slows_nothing(NOISY, runner("small", millicores=2000), contention, NOW)
 
 
-def test_a_loud_filler_waits_rather_than_bringing_a_tail_over_its_target() -> None:
+def test_a_noisy_filler_waits_rather_than_bringing_a_tail_over_its_target() -> None:
     serving = runner("i-1")
     put(serving, SERVING)
-    put(serving, LOUD, job="cd")
-    assert place(LOUD, [serving], taught()) == ""
+    put(serving, NOISY, job="cd")
+    assert place(NOISY, [serving], taught()) == ""
 
 
 def test_no_task_goes_where_it_does_not_fit_or_may_not_run() -> None:
     small, labelled = runner("i-1", 1000), runner("i-2", labels=frozenset({"gpu"}))
     assert place(SHORT, [small]) == ""
     assert place(Step(count=1, millicores=100, label="gpu"), [small, labelled]) == "i-2"
-    apart = Step(count=2, millicores=100, max_per_instance=1)
-    request = PlacementRequest(apart, {RunnerId("i-2"): 1}, NO_RUNNER)
+    spread = Step(count=2, millicores=100, max_per_instance=1)
+    request = PlacementRequest(spread, {RunnerId("i-2"): 1}, NO_RUNNER)
     assert choose(request, [labelled], Contention(), NOW) is None
 
 
@@ -239,34 +245,34 @@
     return found
 
 
-def test_the_filler_that_presses_a_tail_is_held_back_and_let_go() -> None:
+def test_the_filler_that_raises_a_tail_is_slowed_and_restored() -> None:
     one = runner("i-1")
     serving = put(one, SERVING, tail_ms=95.0)
-    loud = put(one, LOUD, job="cd")
+    noisy = put(one, NOISY, job="cd")
     put(one, QUIET, job="ef")
     state = leader(one)
     set_paces(state, one, NOW)
     assert len(paces(state)) == 1
-    assert one.runs[loud].pace < 100
+    assert one.runs[noisy].pace < 100
     one.runs[serving].tail_ms = 35.0
-    one.runs[loud].used_millicores = 40.0 * one.runs[loud].pace
-    learn(state, one, {"loud": 0.02}, NOW + 2)
+    one.runs[noisy].used_millicores = 40.0 * one.runs[noisy].pace
+    learn(state, one, {"noisy": 0.02}, NOW + 2)
     set_paces(state, one, NOW + 2)
-    assert paces(state) and one.runs[loud].pace > 10
+    assert paces(state) and one.runs[noisy].pace > 10
 
 
 def loaded(now: float) -> StepLoad:
-    """Return the base of a serving task whose own load alone brings it near its target."""
+    """Return the load of a serving task whose tail alone is near its target."""
     return StepLoad(math.log(0.8), 0.01, now)
 
 
 def test_a_filler_that_surely_does_no_harm_works_beside_any_load() -> None:
-    """A third of such fillers' processors stood idle while the load beside them was high."""
+    """A third of the processors for harmless fillers stood idle beside serving tasks under load."""
     one = runner("i-1")
     serving = put(one, SERVING, tail_ms=80.0)
     one.runs[serving].load = loaded(NOW)
     assert place(QUIET, [one], taught()) == "i-1"
-    assert place(LOUD, [one], taught()) == ""
+    assert place(NOISY, [one], taught()) == ""
     quiet = put(one, QUIET, job="cd")
     one.set_pace(one.runs[quiet], 10, NOW - 1)
     state = leader(one)
@@ -286,7 +292,7 @@
 
 
 def test_the_load_of_a_step_is_followed_and_falls_back_to_the_usual() -> None:
-    """Loads swing within some ten seconds; one followed in eight came half a swing late."""
+    """Loads swing within about ten seconds; following them over eight lags half a swing behind."""
     contention = Contention()
     usual = contention.base("s")
     load = StepLoad()
@@ -298,7 +304,7 @@
 
 
 def test_all_tasks_of_a_step_share_its_load() -> None:
-    """A swing of the load went into the weights of whatever ran beside each task."""
+    """With a load per task, load swings were attributed to whatever ran beside each task."""
     step = msgspec.structs.replace(SERVING, count=2)
     record = JobRecord(RouteName("q"), SERVICE, 0, 3, 100, 2.0, Workflow("", (step,)))
     state = leader(runner("i-1"))
@@ -312,15 +318,15 @@
 
 
 def test_fillers_are_blamed_by_what_they_used_in_the_time_of_the_report() -> None:
-    """One that just began has used nothing yet; one that ended within the report has."""
+    """A filler that just began has used nothing yet; one that ended during the report has."""
     one = runner("i-1")
     put(one, SERVING)
-    young = put(one, LOUD, job="cd")
+    young = put(one, NOISY, job="cd")
     ended = put(one, QUIET, job="ef")
     running = RunningRow(young, 1, "", 0, 0.0)
     report = Report(one.id, 0.0, (running,), (EndedRow(1, ended, 1, EndKind.DONE, ""),))
     assert filler_use(one, report, NOW) == {
-        "loud": 0.0,
+        "noisy": 0.0,
         "quiet": one.share(QUIET.millicores),
     }
 
@@ -339,7 +345,7 @@
 
 
 def at_work(state: Scheduler, where: RunnerState, step: Step) -> TaskKey:
-    """Put a lasting task of a job of its own to work."""
+    """Add a job with one running lasting task to the leader."""
     job_id = JobId(f"a{len(state.jobs)}")
     key = put(where, step, job=job_id, tail_ms=35.0)
     record = JobRecord(RouteName("q"), SERVICE, 0, 3, 100, 2.0, Workflow("", (step,)))
@@ -351,27 +357,27 @@
 
 
 def grouped(*runners: RunnerState) -> Scheduler:
-    """Return a leader that knows that loud ones slow only `s` and quiet ones only `b`."""
+    """Return a leader that has learned that noisy fillers slow only `s`, quiet ones only `b`."""
     state = leader(*runners, contention=Contention())
-    for image, loud, quiet in (("s", "loud", "quiet"), ("b", "quiet", "loud")):
+    for image, noisy, quiet in (("s", "noisy", "quiet"), ("b", "quiet", "noisy")):
         for _ in range(80):
-            state.contention.learn(image, StepLoad(), 1.2, {loud: 0.15}, NOW)
+            state.contention.learn(image, StepLoad(), 1.2, {noisy: 0.15}, NOW)
             state.contention.learn(image, StepLoad(), 0.35, {quiet: 0.15}, NOW)
-    state.contention.expect({"loud": 0.5, "quiet": 0.5})
-    held_back = put(runners[0], LOUD, job="ff")
-    runners[0].set_pace(runners[0].runs[held_back], 10, NOW - 1)
+    state.contention.expect({"noisy": 0.5, "quiet": 0.5})
+    slowed = put(runners[0], NOISY, job="ff")
+    runners[0].set_pace(runners[0].runs[slowed], 10, NOW - 1)
     return state
 
 
 def test_no_filler_comes_to_a_runner_whose_tail_is_over_its_target() -> None:
-    """It counted as harm though all that stood there was halted (hunted at Riga: HARM)."""
+    """The tail counted as harmed although all fillers on the runner were halted."""
     one = runner("i-1")
     serving = put(one, SERVING, tail_ms=140.0)
     one.runs[serving].over_since = NOW - 0.1
     assert place(QUIET, [one], taught()) == ""
 
 
-SOME = msgspec.structs.replace(LOUD, millicores=1200)
+SOME = msgspec.structs.replace(NOISY, millicores=1200)
 
 
 def test_what_a_runner_leaves_to_fillers_follows_what_comes_and_goes() -> None:
@@ -379,14 +385,14 @@
     contention = taught()
     put(one, SERVING)
     assert place(SOME, [one], contention) == "i-1"
-    loud = put(one, SOME, job="cd")
+    noisy = put(one, SOME, job="cd")
     assert place(SOME, [one], contention) == ""
-    one.remove(loud)
+    one.remove(noisy)
     assert place(SOME, [one], contention) == "i-1"
 
 
 def test_fillers_that_found_no_place_are_tried_again_a_moment_later() -> None:
-    """A pass over 200 waiting jobs and 176 runners took 160 ms, up to a hundred times a second."""
+    """A pass over 200 waiting jobs and 176 runners took 160 ms and ran up to 100 times a second."""
     one = runner("i-1")
     put(one, SERVING)
     there = put(one, SOME, job="cd")
@@ -403,7 +409,7 @@
 
 
 def test_no_fresh_job_takes_the_place_that_a_begun_one_of_its_image_waits_for() -> None:
-    """Two thirds of the late jobs had begun at once, and lost every place to newer ones."""
+    """Two thirds of the late jobs had begun at once, then lost every place to newer jobs."""
     one = runner("i-1", 8000)
     put(one, QUIET, job="cd")
     state = leader(one, contention=taught())
@@ -423,10 +429,10 @@
 
 
 def test_a_task_paced_down_or_saving_teaches_its_whole_time() -> None:
-    """Only short tasks had taught: long ones save their progress, and were held back."""
+    """Only short tasks were learned: long ones save their progress and were slowed."""
     one = runner("i-1")
     state = leader(one)
-    record = JobRecord(RouteName("q"), SERVICE, 2, 3, 9000, 2.0, Workflow("", (LOUD,)))
+    record = JobRecord(RouteName("q"), SERVICE, 2, 3, 9000, 2.0, Workflow("", (NOISY,)))
     state.add_job(JobId("ee"), record, 1, None, False, NOW, 0.0)
     job, key = state.jobs[JobId("ee")], TaskKey(JobId("ee"), 0, 0, 0)
     bind(state, job, key, 1, one, NOW)
@@ -438,8 +444,8 @@
     assert round(state.times.learnt()[0].y, 3) == round(math.log(2000.0), 3)
 
 
-def test_a_lasting_task_that_ran_before_goes_to_a_distrusted_runner_rather_than_nowhere() -> None:
-    """It waited beside room for up to 16 s (hunted at Bengal: LOST)."""
+def test_a_lasting_task_that_ran_before_goes_to_a_quarantined_runner_rather_than_nowhere() -> None:
+    """The task waited beside free capacity for up to 16 s and counted as lost."""
     one, full = runner("i-1"), runner("i-2", 1000)
     one.distrust(NOW)
     state = leader(one, full)
@@ -471,7 +477,7 @@
     assert one.runs[key].over_since is None
 
 
-def test_the_odd_task_moves_to_its_own_kind() -> None:
+def test_the_mismatched_task_moves_to_its_own_kind() -> None:
     mixed, own = runner("i-1"), runner("i-2")
     state = grouped(mixed, own)
     for where, step in ((mixed, SERVING), (mixed, ODD), (own, ODD)):
@@ -498,7 +504,7 @@
 
 
 def test_the_place_of_a_task_on_its_way_is_kept_for_it() -> None:
-    """Others took it, the task found no place any more (hunted at Bengal: LOST)."""
+    """Other tasks took the free capacity; the moved task found none and counted as lost."""
     one, two = runner("i-1", 8000), runner("i-2", 8000)
     state = grouped(one, two)
     key = at_work(state, one, SERVING)
@@ -561,7 +567,7 @@
 
 
 def test_an_inherited_filler_gets_its_pace_anew() -> None:
-    """The leader before may have held it back; nobody would have let it go again."""
+    """The previous leader may have slowed the filler; no one else would restore its pace."""
     state = leader()
     step = Step(count=1, millicores=4000, fills=True, image="quiet")
     record = JobRecord(RouteName("q"), SERVICE, 0, 3, 100, 2.0, Workflow("", (step,)))
@@ -580,10 +586,10 @@
 
 
 def test_a_filler_that_stood_still_works_again_once_nothing_serves_beside_it() -> None:
-    """It kept the pace of the last serving task's time for good (hunted at Bengal: LOST)."""
+    """The filler kept the pace it had beside the last serving task and counted as lost."""
     one = runner("i-1")
-    loud = put(one, LOUD, job="cd")
-    one.set_pace(one.runs[loud], 0, NOW - 1)
+    noisy = put(one, NOISY, job="cd")
+    one.set_pace(one.runs[noisy], 0, NOW - 1)
     state = leader(one)
     set_paces(state, one, NOW)
     assert paces(state) == [100]
--- a/tests/test_placing_pass.py
+++ b/tests/test_placing_pass.py
@@ -1,4 +1,4 @@
-"""A pass over waiting work ends in parts, so that the leader reads and writes between them."""
+"""A pass over waiting tasks runs in parts, so that the leader reads and writes between them."""
 
 import math
 
@@ -16,7 +16,7 @@
 
 def _state(runners: int) -> Scheduler:
     state = Scheduler(1, NOW, NOW)
-    state.starts.limit = math.inf  # Nothing is sent here: only the work of a part bounds it.
+    state.starts.limit = math.inf  # Nothing is sent here: only the pair budget limits a part.
     for number in range(runners):
         entry = RunnerEntry(
             RunnerId(f"r{number}"),
@@ -38,11 +38,11 @@
 
 
 def _bound(state: Scheduler) -> int:
-    return sum(len(one.runs) for one in state.runners.values())
+    return sum(len(runner.runs) for runner in state.runners.values())
 
 
 def test_a_part_weighs_a_bounded_number_of_pairs_and_all_parts_bind_everything() -> None:
-    """2,128 tasks over 350 runners took one pass of 4.5 s; others claimed the lead meanwhile."""
+    """2,128 tasks over 350 runners took one pass of 4.5 s; others claimed leadership meanwhile."""
     state = _state(200)
     for number in range(400):
         _add(state, number, Step(count=10, millicores=1000, memory_mb=10))
@@ -52,7 +52,7 @@
         parts += 1
         assert parts < PARTS
         place(state, NOW, 0.0)
-        # All runners are weighed once for the ten tasks of a step, and one again for each task.
+        # Each step evaluates all runners once for its ten tasks, and one runner again per task.
         steps = (_bound(state) - before) / 10
         assert (steps - 1) * (200 + 10) <= MOST_WEIGHED
     assert _bound(state) == 4000
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""One evaluation for all tasks of a step chooses as one for each task would."""
+"""Ranking chooses the same runners for a step as a separate scan for each of its tasks."""
 
 import random
 
@@ -57,8 +57,8 @@
             leaving=False,
         )
         runner = RunnerState(entry, adopted=True)
-        for held in range(rng.randint(0, 5)):
-            runner.add(TaskKey(OTHER, 0, number, held), _run(rng, _step(rng)))
+        for task_number in range(rng.randint(0, 5)):
+            runner.add(TaskKey(OTHER, 0, number, task_number), _run(rng, _step(rng)))
         runners.append(runner)
     return runners
 
@@ -73,43 +73,45 @@
     return contention
 
 
-def _bind(runner: RunnerState, step: Step, number: int, held: dict[RunnerId, int]) -> None:
+def _bind(
+    runner: RunnerState, step: Step, number: int, tasks_per_runner: dict[RunnerId, int]
+) -> None:
     run = Run(1, RunStage.RECORDED, step.demand, step.millicores, NOW)
     run.image, run.fills, run.target_ms = step.image, step.fills, float(step.target_ms)
-    held[runner.id] = held.get(runner.id, 0) + 1
+    tasks_per_runner[runner.id] = tasks_per_runner.get(runner.id, 0) + 1
     runner.add(TaskKey(JobId("job"), 0, 0, number), run)
 
 
 def _by_scan(seed: int) -> list[RunnerId | None]:
     rng = random.Random(seed)
     step, runners, contention = _step(rng), _runners(rng), _contention(rng)
-    held: dict[RunnerId, int] = {}
+    tasks_per_runner: dict[RunnerId, int] = {}
     chosen: list[RunnerId | None] = []
     for number in range(step.count):
-        request = PlacementRequest(step, held, NO_RUNNER, reserve=2500)
+        request = PlacementRequest(step, tasks_per_runner, NO_RUNNER, reserve=2500)
         runner = choose(request, runners, contention, NOW)
         chosen.append(None if runner is None else runner.id)
         if runner is None:
             break
-        _bind(runner, step, number, held)
+        _bind(runner, step, number, tasks_per_runner)
     return chosen
 
 
 def _by_ranking(seed: int) -> list[RunnerId | None]:
     rng = random.Random(seed)
     step, runners, contention = _step(rng), _runners(rng), _contention(rng)
-    held: dict[RunnerId, int] = {}
+    tasks_per_runner: dict[RunnerId, int] = {}
     chosen: list[RunnerId | None] = []
     ranking = Ranking(
-        PlacementRequest(step, held, NO_RUNNER, reserve=2500), runners, contention, NOW
+        PlacementRequest(step, tasks_per_runner, NO_RUNNER, reserve=2500), runners, contention, NOW
     )
     for number in range(step.count):
         runner = ranking.best()
         chosen.append(None if runner is None else runner.id)
         if runner is None:
             break
-        _bind(runner, step, number, held)
-        ranking.best_changed()
+        _bind(runner, step, number, tasks_per_runner)
+        ranking.rescore_best()
     return chosen
 
 
--- a/tests/test_waiting_order.py
+++ b/tests/test_waiting_order.py
@@ -1,4 +1,4 @@
-"""Which waiting tasks get their turn where others in front of them cannot be placed."""
+"""Order of waiting tasks where others in front of them cannot be placed."""
 
 from spoolcrank.jobs import TaskState
 from spoolcrank.policy import Policy
@@ -11,16 +11,15 @@
 
 
 def _open_jobs(world: World) -> set[str]:
-    return {one.split()[0].rsplit(".", 1)[0] for one in world.open_tasks()}
+    return {task.split()[0].rsplit(".", 1)[0] for task in world.open_tasks()}
 
 
 def test_a_team_at_its_quota_does_not_keep_the_others_waiting() -> None:
-    """Jobs waited beside idle servers while another team's long queue stood in front of them.
+    """Jobs waited beside idle backend servers behind another team's long queue.
 
-    Found by reading, while jobs that wait for a place for good were traced.
-    Cause: each pass weighed the first 64 waiting tasks only. Where these could not be placed, by
-    their team's quota or their size, nothing behind them was ever tried.
-    Proof: this test, without the mend: the second job waits for 36 tasks of 6 s, one at a time.
+    Each pass considered only the first 64 waiting tasks. When these could not be placed, because of
+    their team's quota or their size, no task behind them was tried. With this fault the second job
+    waits for 36 tasks of 6 s, one at a time.
     """
     world = World(Policy(quotas={TEAM: 2.0}))
     world.submit(MANY, RUN_S, True, team=TEAM)
@@ -31,9 +30,9 @@
 
 
 def test_many_small_jobs_at_a_quota_do_not_keep_the_others_waiting() -> None:
-    """As above, with a job for each task: of one job one task stands for all, of many none does.
+    """The same fault with one task per job, where no task can stand for the others of its job.
 
-    Proof: this test, without the mend: the last job waits for 36 tasks of 6 s, one at a time.
+    With the fault the last job waits for 36 tasks of 6 s, one at a time.
     """
     world = World(Policy(quotas={TEAM: 2.0}))
     for number in range(MANY):
@@ -56,11 +55,11 @@
 
 
 def test_a_task_that_only_a_whole_server_holds_is_refused_unless_it_is_urgent() -> None:
-    """An accepted job that only a whole server holds stayed pending for good.
+    """An accepted job that needs a whole backend server stayed pending for good.
 
-    Found by reading. Cause: a share of each server is kept for urgent work, and what fits
-    nowhere was judged by the whole server; sizes in between were neither placed nor refused.
-    Proof: this test, without the mend, has the first job pending.
+    A share of each server is reserved for urgent work, but the check for tasks that fit nowhere
+    used the whole server, so that sizes in between were neither placed nor refused. With this fault
+    the first job stays pending.
     """
     world = World()
     world.submit(1, 1.0, True, processors=CAPACITY.processors)
