--- a/spoolcrank/contention.py
+++ b/spoolcrank/contention.py
@@ -1,11 +1,11 @@
-"""Learn which fillers slow which serving tasks, and how far they may be put together.
-
-The logarithm of a serving task's tail latency over its target is taken as a sum: a base that
-follows the task's own load, plus for each filler beside it a weight of the pair of images
-times the share of the instance's processors that the filler uses. The weights of one serving
-image are learnt together from the reports by a Kalman filter, so that a slow tail beside
-several fillers leaves open which of them it was until they are seen apart. A pair never seen
-counts as the prior says.
+"""Model which fillers slow down which serving tasks, to decide which may share a runner.
+
+The logarithm of the ratio of a serving task's tail latency to its target is modelled as a sum:
+a base that follows the task's own load, plus, for each filler on the same runner, the weight of
+the pair of images times the share of the runner's processors that the filler uses. A Kalman
+filter estimates all weights of one serving image together from the reports: while a high tail
+latency occurs with several fillers present, it remains open which of them causes it until
+reports with different combinations arrive. A pair that was never observed has the prior weight.
 """
 
 import math
@@ -15,274 +15,297 @@
 import msgspec
 
 PRIOR_WEIGHT = 3.0
-"""Weight of a pair never seen. Measured on two sites: about half of the pairs have 5 to 14,
-the others about 0; below their mean, so that one filler at a time is tried."""
+"""Mean weight of a pair that was never observed. On two deployments about half of the pairs have
+weights of 5 to 14 and the others about 0. The prior is below their mean, so that fillers are
+tried one at a time."""
 
 PRIOR_VARIANCE = 25.0
-"""Of the weight of a pair never seen; from the same spread."""
+"""Variance of the weight of a pair that was never observed, from the spread of the same pairs."""
 
 NOISE_VARIANCE = 0.04
-"""Of one report's logarithm around the sum; a report is a rough figure of half a second."""
+"""Variance of the logarithm in one report around the modelled sum. A report covers only half a
+second and is imprecise."""
 
-SWING_VARIANCE = 0.16
-"""Of a step's load around its image's; chosen, from reports that spread by about 0.4 alone."""
+LOAD_VARIANCE = 0.16
+"""Variance of a step's load around the base of its image. Without fillers, reports have a standard
+deviation of about 0.4."""
 
-SWING_S = 5.0
-"""Time in which a step's load falls back to its image's by a factor e, s: chosen. On two
-deployments a task's reports one second apart correlate by 0.75, two by 0.5, noise included."""
+LOAD_DECAY_S = 5.0
+"""Time constant, in seconds, of the exponential return of a step's load to the base of its image.
+On two deployments, reports of one task that are one second apart correlate by 0.75 and those two
+seconds apart by 0.5, noise included."""
 
-FORGETTING = 0.002
-"""Added to a weight's variance by each report that bears on it: weights drift in minutes. At 0.01
-some of them followed the swing of the load, harmless to 2.5 and back within 14 s."""
+WEIGHT_DRIFT_VARIANCE = 0.002
+"""Variance that each report adds to the weights of the fillers in it, because weights drift over
+minutes. At 0.01 some weights followed the fluctuation of the load, from harmless to 2.5 and back
+within 14 s."""
 
-IMAGE_GAIN = 0.001
-"""Share of the way that the base of an image goes towards one step's load with each report; some
-tens come each second, and the base is to outlast a swing."""
+BASE_GAIN = 0.001
+"""Fraction by which each report moves the base of an image towards the load of the step. Some tens
+of reports arrive each second, and the base must not follow short fluctuations of the load."""
 
 PRIOR_BASE = math.log(0.35)
-"""Base of an image never seen alone; measured medians are 0.33 to 0.4 of the target."""
+"""Base of an image without reports. The median tail latencies are 0.33 to 0.4 of the target."""
 
-LARGEST_RESIDUAL = 1.2
-"""A report further off moves the weights no more than this; single spikes reach 3."""
+MAX_RESIDUAL = 1.2
+"""Limit of the residual of one report, so that outliers do not dominate; single spikes reach 3."""
 
-LEAST_SHARE = 0.005
-"""A filler that uses less of the instance teaches nothing."""
+MIN_SHARE = 0.005
+"""Share of the runner's processors below which a filler is left out of an update."""
 
-LOWEST_MEAN = -2.0
-"""No weight is held lower; a spell of falling load looks like a filler that helps."""
+MIN_MEAN_WEIGHT = -2.0
+"""Lower limit of a mean weight. A period of falling load looks like a filler that reduces tail
+latency."""
 
-CAUTION = 0.4
-"""Standard deviations by which a weight is taken higher than its mean, so that pairs of which
-little is known are tried by one filler at a time."""
+CAUTION_DEVIATIONS = 0.4
+"""Standard deviations added to the mean of a weight, so that fillers of a pair with few
+observations are tried one at a time."""
 
-HARMLESS_WEIGHT = 2.5
-"""A pair of a lower weight is taken as harmless; learnt weights of such pairs reach about 2."""
+HARMLESS_WEIGHT_LIMIT = 2.5
+"""Weight below which a pair is harmless; learned weights of such pairs reach about 2."""
 
-MODEL_VARIANCE = 0.5
-"""Added to the variance of a weight when it is judged: drift and load swings are not in it."""
+JUDGEMENT_VARIANCE = 0.5
+"""Variance added to that of a weight for its judgement, because the filter's variance does not
+cover drift and load fluctuations."""
 
-LEAST_BEARING = 1e-6
-"""A weight that a report bears on less than this is not touched by it."""
+MIN_CROSS_COVARIANCE = 1e-6
+"""Covariance with the modelled sum below which a report leaves a weight unchanged."""
 
-ANY_FILLER = {"": 1.0}
-"""The mix that is expected before the first filler came."""
+UNKNOWN_FILLER_MIX = {"": 1.0}
+"""Expected filler mix until the first filler is known."""
 
 
 @dataclass(slots=True)
 class StepLoad:
-    """The load of one lasting step: logarithm of its tasks' tail over target without fillers.
+    """Load of one lasting step: logarithm of tail latency over target, without fillers.
 
-    All tasks of a step share it, wherever they run: on one deployment their tails in the
-    same second correlate by 0.75 to 0.9, those of two steps by 0.05.
+    All tasks of a step share it, on whichever runner they run: on one deployment their tail
+    latencies in the same second correlate by 0.75 to 0.9, those of two steps by 0.05.
 
     Attributes:
-        level: as estimated at a time; nothing is known before the first report.
-        variance: of that estimate.
-        at: the time, monotonic seconds.
+        level: the estimate; meaningless before the first report.
+        variance: variance of the estimate.
+        at: time of the estimate, monotonic seconds; None before the first report.
     """
 
     level: float = 0.0
-    variance: float = SWING_VARIANCE
+    variance: float = LOAD_VARIANCE
     at: float | None = None
 
     def ahead(self, usual: float, now: float) -> tuple[float, float]:
-        """Return level and variance to be expected at a time, between here and the usual."""
+        """Return the level and variance expected at `now`, as the level returns to `usual`."""
         if self.at is None:
-            return usual, SWING_VARIANCE
-        rest = math.exp(-max(0.0, now - self.at) / SWING_S)
-        level = usual + (self.level - usual) * rest
-        return level, SWING_VARIANCE + (self.variance - SWING_VARIANCE) * rest * rest
+            return usual, LOAD_VARIANCE
+        decay = math.exp(-max(0.0, now - self.at) / LOAD_DECAY_S)
+        level = usual + (self.level - usual) * decay
+        return level, LOAD_VARIANCE + (self.variance - LOAD_VARIANCE) * decay * decay
 
 
-class LearntWeight(msgspec.Struct, frozen=True, array_like=True):
-    """The stored weight of a filler image beside one serving image, with its variance."""
+class StoredWeight(msgspec.Struct, frozen=True, array_like=True):
+    """Stored weight of a filler image for one serving image, with its variance."""
 
     filler: str
     mean: float
     variance: float
 
 
-class LearntImage(msgspec.Struct, frozen=True, array_like=True):
-    """What is stored of one serving image: its base alone, and the weights of fillers."""
+class StoredServingImage(msgspec.Struct, frozen=True, array_like=True):
+    """Stored model of one serving image: its base without fillers and the weights of fillers."""
 
     serving: str
     base: float
-    weights: tuple[LearntWeight, ...] = ()
+    weights: tuple[StoredWeight, ...] = ()
 
 
 @dataclass(slots=True)
 class _Judgement:
-    """How a pair counts: how likely it is harmless, and the weight that is reckoned with."""
+    """Assessment of a pair: the probability that it is harmless, and the weight to assume."""
 
     harmless: float
     weight: float
 
 
 def _judge(mean: float, variance: float) -> _Judgement:
-    spread = math.sqrt(2.0 * (variance + MODEL_VARIANCE))
-    harmless = 0.5 * (1.0 + math.erf((HARMLESS_WEIGHT - mean) / spread))
-    careful = max(0.0, mean + CAUTION * math.sqrt(variance))
-    return _Judgement(harmless, careful * (1.0 - harmless))
+    spread = math.sqrt(2.0 * (variance + JUDGEMENT_VARIANCE))
+    harmless = 0.5 * (1.0 + math.erf((HARMLESS_WEIGHT_LIMIT - mean) / spread))
+    cautious = max(0.0, mean + CAUTION_DEVIATIONS * math.sqrt(variance))
+    return _Judgement(harmless, cautious * (1.0 - harmless))
 
 
-UNSEEN = _judge(PRIOR_WEIGHT, PRIOR_VARIANCE)
-"""The judgement of a pair never seen together."""
+PRIOR_JUDGEMENT = _judge(PRIOR_WEIGHT, PRIOR_VARIANCE)
+"""Judgement of a pair that was never observed."""
 
 
 @dataclass(slots=True)
 class _Weights:
-    """The weights of one serving image: means, covariances and judgements by filler image."""
+    """Weights of one serving image: means, covariances and judgements by filler image."""
 
     index: dict[str, int] = field(default_factory=dict)
     means: list[float] = field(default_factory=list)
     covariances: list[list[float]] = field(default_factory=list)
-    judged: list[_Judgement] = field(default_factory=list)
+    judgements: list[_Judgement] = field(default_factory=list)
 
-    def place(self, filler: str) -> int:
-        """Return the place of a filler image; a new one begins at the prior."""
-        place = self.index.get(filler)
-        if place is None:
-            place = self.index[filler] = len(self.means)
+    def position(self, filler: str) -> int:
+        """Return the matrix position of a filler image; add a new one with the prior."""
+        position = self.index.get(filler)
+        if position is None:
+            position = self.index[filler] = len(self.means)
             self.means.append(PRIOR_WEIGHT)
             for row in self.covariances:
                 row.append(0.0)
-            self.covariances.append([0.0] * place + [PRIOR_VARIANCE])
-            self.judged.append(UNSEEN)
-        return place
+            self.covariances.append([0.0] * position + [PRIOR_VARIANCE])
+            self.judgements.append(PRIOR_JUDGEMENT)
+        return position
 
     def judgement(self, filler: str) -> _Judgement:
-        """Return how a filler image counts."""
-        place = self.index.get(filler)
-        return UNSEEN if place is None else self.judged[place]
+        """Return the judgement of a filler image, or the prior's if it was never observed."""
+        position = self.index.get(filler)
+        return PRIOR_JUDGEMENT if position is None else self.judgements[position]
 
     def update(
         self, shares: list[tuple[int, float]], residual: float, other_variance: float
     ) -> float:
-        """Take one residual beside fillers; returns the variance that it had in all."""
+        """Apply one residual to all weights that it depends on; return its total variance.
+
+        Args:
+            shares: matrix position and processor share of each filler.
+            residual: measured minus expected logarithm.
+            other_variance: variance of the residual that is not due to the weights.
+        """
         rows = self.covariances
-        bears = [sum(row[place] * share for place, share in shares) for row in rows]
-        spread = other_variance + sum(bears[place] * share for place, share in shares)
-        touched = [place for place, bearing in enumerate(bears) if abs(bearing) >= LEAST_BEARING]
-        for place in touched:
-            gain = bears[place] / spread
-            # Held below 0 too: cut off there, the scatter around 0 would look like weight.
-            self.means[place] = max(LOWEST_MEAN, self.means[place] + gain * residual)
-            row = rows[place]
-            for other in touched:
-                row[other] -= gain * bears[other]
-        for place, _ in shares:
-            rows[place][place] += FORGETTING
-        for place in touched:
-            self.judged[place] = _judge(self.means[place], max(0.0, rows[place][place]))
-        return spread
+        cross_covariances = [
+            sum(row[position] * share for position, share in shares) for row in rows
+        ]
+        total_variance = other_variance + sum(
+            cross_covariances[position] * share for position, share in shares
+        )
+        affected = [
+            position
+            for position, cross_covariance in enumerate(cross_covariances)
+            if abs(cross_covariance) >= MIN_CROSS_COVARIANCE
+        ]
+        for position in affected:
+            gain = cross_covariances[position] / total_variance
+            # Means may be negative: clipped at 0, the noise around 0 would add up to a weight.
+            self.means[position] = max(MIN_MEAN_WEIGHT, self.means[position] + gain * residual)
+            row = rows[position]
+            for other in affected:
+                row[other] -= gain * cross_covariances[other]
+        for position, _ in shares:
+            rows[position][position] += WEIGHT_DRIFT_VARIANCE
+        for position in affected:
+            self.judgements[position] = _judge(
+                self.means[position], max(0.0, rows[position][position])
+            )
+        return total_variance
 
 
 class Contention:
-    """What one leader has learnt of the pairs of images."""
+    """One leader's model of how filler images affect serving images."""
 
     def __init__(self) -> None:
         self._weights: dict[str, _Weights] = {}
         self._bases: dict[str, float] = {}
-        self._mix: Mapping[str, float] = ANY_FILLER
-        self._borne: dict[frozenset[str], float] = {}
+        self._mix: Mapping[str, float] = UNKNOWN_FILLER_MIX
+        self._tolerated_shares: dict[frozenset[str], float] = {}
 
-    def learnt(self) -> tuple[LearntImage, ...]:
-        """Return what the next leader should start from; how weights hang together is left out."""
+    def learnt(self) -> tuple[StoredServingImage, ...]:
+        """Return the state for the next leader, without the covariances between weights."""
         return tuple(
-            LearntImage(
+            StoredServingImage(
                 serving,
                 round(self.base(serving), 2),
                 tuple(
-                    LearntWeight(
+                    StoredWeight(
                         filler,
-                        round(held.means[place], 2),
-                        round(max(0.0, held.covariances[place][place]), 2),
+                        round(weights.means[position], 2),
+                        round(max(0.0, weights.covariances[position][position]), 2),
                     )
-                    for filler, place in held.index.items()
+                    for filler, position in weights.index.items()
                 ),
             )
-            for serving, held in self._weights.items()
+            for serving, weights in self._weights.items()
         )
 
-    def restore(self, learnt: Iterable[LearntImage]) -> None:
-        """Take over what an earlier leader learnt."""
-        for image in learnt:
+    def restore(self, images: Iterable[StoredServingImage]) -> None:
+        """Load the state that an earlier leader stored."""
+        for image in images:
             self._bases[image.serving] = image.base
-            held = self._weights.setdefault(image.serving, _Weights())
-            for one in image.weights:
-                place = held.place(one.filler)
-                held.means[place] = one.mean
-                held.covariances[place][place] = one.variance
-                held.judged[place] = _judge(one.mean, one.variance)
+            weights = self._weights.setdefault(image.serving, _Weights())
+            for weight in image.weights:
+                position = weights.position(weight.filler)
+                weights.means[position] = weight.mean
+                weights.covariances[position][position] = weight.variance
+                weights.judgements[position] = _judge(weight.mean, weight.variance)
 
     def expect(self, mix: Mapping[str, float]) -> None:
-        """Take the share of each filler image in what fillers want; judges pairs anew."""
-        self._mix = mix or ANY_FILLER
-        self._borne = {}
+        """Set the share of each filler image in the total demand, and clear cached shares."""
+        self._mix = mix or UNKNOWN_FILLER_MIX
+        self._tolerated_shares = {}
 
     def _judgement(self, serving: str, filler: str) -> _Judgement:
-        held = self._weights.get(serving)
-        return UNSEEN if held is None else held.judgement(filler)
+        weights = self._weights.get(serving)
+        return PRIOR_JUDGEMENT if weights is None else weights.judgement(filler)
 
     def harmless(self, serving: str, filler: str) -> float:
-        """Return how likely a filler does not matter to a serving image, 0 to 1."""
+        """Return the probability that a filler image does not slow a serving image, 0 to 1."""
         return self._judgement(serving, filler).harmless
 
     def belief(self, serving: str, filler: str) -> tuple[float, float]:
-        """Return mean and variance of what is learnt of a pair's weight."""
-        held = self._weights.get(serving)
-        place = None if held is None else held.index.get(filler)
-        if held is None or place is None:
+        """Return the mean and variance of a pair's weight."""
+        weights = self._weights.get(serving)
+        position = None if weights is None else weights.index.get(filler)
+        if weights is None or position is None:
             return PRIOR_WEIGHT, PRIOR_VARIANCE
-        return held.means[place], held.covariances[place][place]
+        return weights.means[position], weights.covariances[position][position]
 
     def borne(self, serving: frozenset[str]) -> float:
-        """Return the share of the expected fillers that likely matters to none of the images."""
-        share = self._borne.get(serving)
+        """Return the share of the expected fillers that likely slows none of the images."""
+        share = self._tolerated_shares.get(serving)
         if share is None:
-            share = self._borne[serving] = sum(
-                part * math.prod(self.harmless(image, filler) for image in serving)
-                for filler, part in self._mix.items()
+            share = self._tolerated_shares[serving] = sum(
+                fraction * math.prod(self.harmless(image, filler) for image in serving)
+                for filler, fraction in self._mix.items()
             )
         return share
 
     def weight(self, serving: str, filler: str) -> float:
-        """Return the weight of a pair, near 0 for one that likely does not matter."""
+        """Return the weight to assume for a pair, near 0 for one that is likely harmless."""
         return self._judgement(serving, filler).weight
 
     def base(self, serving: str) -> float:
-        """Return the usual logarithm of tail over target of an image alone."""
+        """Return the usual logarithm of tail latency over target of an image without fillers."""
         return self._bases.get(serving, PRIOR_BASE)
 
     def effect(self, serving: str, fillers: Iterable[tuple[str, float]]) -> float:
-        """Return what fillers add to the logarithm; each is an image and its share."""
+        """Return the sum that fillers add to the logarithm, from each one's image and share."""
         return sum(self.weight(serving, image) * share for image, share in fillers)
 
     def learn(
         self, serving: str, load: StepLoad, ratio: float, fillers: dict[str, float], now: float
     ) -> None:
-        """Take one report of a serving task into its step's load and the weights of its image.
+        """Update the load of a step and the weights of its image from one report.
 
         Args:
-            serving: the image of the task that serves.
-            load: of its step.
-            ratio: its tail latency over its target, above 0.
-            fillers: share of the instance that each filler image used beside it.
+            serving: image of the serving task.
+            load: load of the task's step; updated in place.
+            ratio: tail latency of the task over its target, above 0.
+            fillers: share of the runner's processors that each filler image used.
             now: monotonic seconds.
         """
         usual = self.base(serving)
         level, variance = load.ahead(usual, now)
         weights = self._weights.setdefault(serving, _Weights())
-        seen = [
-            (weights.place(image), share)
+        known_shares = [
+            (weights.position(image), share)
             for image, share in fillers.items()
-            if share >= LEAST_SHARE
+            if share >= MIN_SHARE
         ]
-        expected = level + sum(weights.means[place] * share for place, share in seen)
+        expected = level + sum(weights.means[position] * share for position, share in known_shares)
         residual = math.log(ratio) - expected
-        residual = max(-LARGEST_RESIDUAL, min(LARGEST_RESIDUAL, residual))
-        gain = variance / weights.update(seen, residual, variance + NOISE_VARIANCE)
+        residual = max(-MAX_RESIDUAL, min(MAX_RESIDUAL, residual))
+        gain = variance / weights.update(known_shares, residual, variance + NOISE_VARIANCE)
         load.level = level + gain * residual
         load.variance = (1.0 - gain) * variance
         load.at = now
-        self._bases[serving] = usual + IMAGE_GAIN * (load.level - usual)
+        self._bases[serving] = usual + BASE_GAIN * (load.level - usual)
--- a/spoolcrank/exchanges.py
+++ b/spoolcrank/exchanges.py
@@ -1,10 +1,11 @@
-"""Exchange single serving tasks where whole groups of one image do not fit in each other's place.
-
-Exchanges of single tasks between two runners, each of which lessens what the images of one runner
-take from each other's fillers, are tried one after the other on a copy of the grouping; as many
-are carried out as open the most for the tasks that they move. Where most fillers slow the image
-that nearly half of the serving tasks ran, 188 of 199 changes of whole groups did not fit; with
-exchanges fillers worked at 1.35 times the processors there (one deployment, its worst days).
+"""Exchange single serving tasks where whole groups of one image do not fit on each other's runner.
+
+The planner tries exchanges of single tasks between two runners one after the other on a copy of
+the grouping. Each exchange reduces the filler capacity that images on the same runner cost each
+other. The planner returns the sequence of exchanges that gains most filler capacity for the tasks
+it moves. On the worst days of one deployment, where most fillers slowed the image that nearly half
+of the serving tasks ran, 188 of 199 changes of whole groups did not fit; with exchanges, fillers
+used 1.35 times as many processors.
 """
 
 from collections import Counter
@@ -19,30 +20,30 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL, Demand, Phase, RunnerId, Step, TaskKey
 
-LEAST_GAIN = 0.8
-"""Processors for fillers that a plan must open for each task it moves, cores. A task's absence of
-a second costs about what three core-seconds of fillers earn, and those beside its new place that
-it bears badly lose some more, so that this pays within ten seconds. At 0.5 and 1.2 jobs of fillers
-earned alike within 0.01 of what they were owed (14 plays each)."""
+MIN_GAIN_CORES = 0.8
+"""Filler capacity that a plan must gain for each moved task, cores. One second of a task's absence
+costs about as much as three core-seconds of fillers earn, and fillers on the new runner that the
+task does not tolerate lose some more, so that a move pays off within ten seconds. In 14 trials each
+at 0.5 and 1.2, filler jobs earned the same to within 0.01 of the value they could earn."""
 
-LEAST_RELIEF = 0.02
-"""For each moved task an exchange lessens by at least this what images on one runner take from each
-other: shares of the expected fillers, summed over pairs of tasks; below it nothing is learnt of
-the pairs yet, or their images bear the same fillers."""
+MIN_RELIEF = 0.02
+"""Minimum relief of an exchange for each moved task: the reduction of the conflict between images
+on the same runner, in shares of the expected fillers summed over pairs of tasks. Below it, the
+model has no observations of the pairs yet, or their images tolerate the same fillers."""
 
-STAY_S = 6.0
-"""A task that came to its runner later than that is not moved again, s: each move costs about one
-second of its work."""
+MIN_STAY_S = 6.0
+"""Time that a task must have been on its runner before it moves again, seconds. Each move costs
+about one second of its work."""
 
-MOST_EXCHANGES = 12
-"""Exchanges in one plan; the rest follows in the next, with newer weights."""
+MAX_EXCHANGES = 12
+"""Maximum number of exchanges in one plan. The next plan makes the rest with newer weights."""
 
 StepKey = tuple[str, int, int]
 """Job, round and step."""
 
 
 class Move(NamedTuple):
-    """One task to move, and where to."""
+    """A task to move, with the runner it leaves and its destination."""
 
     task: TaskKey
     source: RunnerId
@@ -50,24 +51,24 @@
 
 
 class _Task(NamedTuple):
-    """One serving task that may move."""
+    """A serving task that may move, and its run."""
 
     key: TaskKey
     run: Run
 
 
 @dataclass(eq=False)
-class _Place:
-    """A runner in the grouping that is being planned.
+class _PlannedRunner:
+    """A runner in the planned grouping.
 
     Attributes:
-        runner: as it is.
-        free: room that is neither taken nor promised.
-        idle: what serving and short tasks leave to fillers, cores.
-        images: serving tasks by image, those that may not move included.
-        tasks: those that may move, by image.
-        steps: tasks of each step held.
-        pressed: by image, what one more task there and those present take from each other.
+        runner: the present state of the runner.
+        free: capacity that is neither used nor reserved.
+        idle: capacity that serving and short tasks leave to fillers, cores.
+        images: number of serving tasks by image, including those that may not move.
+        tasks: serving tasks that may move, by image.
+        steps: number of tasks of each step on the runner.
+        losses: by image, the conflict between one more task and those on the runner.
     """
 
     runner: RunnerState
@@ -76,252 +77,259 @@
     images: Counter[str]
     tasks: dict[str, list[_Task]] = field(default_factory=dict)
     steps: Counter[StepKey] = field(default_factory=Counter)
-    pressed: dict[str, float] = field(default_factory=dict)
+    losses: dict[str, float] = field(default_factory=dict)
 
     @property
     def service(self) -> ServiceName:
-        """Return the service of the runner."""
+        """Return the service that the runner belongs to."""
         return self.runner.entry.service
 
 
 class _Exchange(NamedTuple):
-    """A task that goes from one place to another, and the one that comes back, if any.
+    """A move of a task between two runners, and of another one back, if any.
 
-    `relief` is how much less the images of both places press each other, for each moved task.
+    `outgoing` is the image of the task that leaves `first`, and `incoming` the image of the task
+    that leaves `second`, or empty. `relief` is the reduction of conflicts on both runners, for each
+    moved task.
     """
 
     relief: float
-    one: _Place
-    other: _Place
-    going: str
-    coming: str
+    first: _PlannedRunner
+    second: _PlannedRunner
+    outgoing: str
+    incoming: str
 
 
 def pressure(state: Scheduler) -> float:
-    """Return how much of opened room would be used at once, 0 to 1.
+    """Return the share of gained filler capacity that would be used at once, 0 to 1.
 
-    Where less waits than works it finds a place within about the time of one task, so that moving
-    tasks that serve for it gains little.
+    Where fewer fillers wait than run, a waiting one finds a runner within about the duration of
+    one task, so that moving serving tasks for it gains little.
     """
-    at_work = waiting = 0.0
+    running = waiting = 0.0
     for runner in state.runners.values():
         for run in runner.runs.values():
             if run.fills:
-                at_work += run.paced_millicores
+                running += run.paced_millicores
                 waiting += run.wanted_millicores - run.paced_millicores
     for job in state.waiting_jobs():
-        for held in job.rounds.values():
-            for _, step in held.ready():
+        for round_state in job.rounds.values():
+            for _, step in round_state.ready():
                 if step.spec.fills:
                     waiting += len(step.waiting) * step.spec.millicores
-    return min(1.0, waiting / max(1.0, at_work))
+    return min(1.0, waiting / max(1.0, running))
 
 
 def exchange_tasks(state: Scheduler, runners: list[RunnerState], now: float) -> list[Move]:
-    """Return the moves that exchange single tasks between runners; most times none."""
-    pressed = pressure(state)
-    if pressed <= 0.0:
+    """Return the moves that exchange single tasks between runners, usually none."""
+    filler_pressure = pressure(state)
+    if filler_pressure <= 0.0:
         return []
-    return _Plan(state, runners, pressed, now).moves()
+    return _Plan(state, runners, filler_pressure, now).moves()
 
 
 class _Plan:
-    """One search for a better grouping, on a copy of the present one."""
+    """Search for a better grouping, on a copy of the present one."""
 
     def __init__(
-        self, state: Scheduler, runners: list[RunnerState], pressed: float, now: float
+        self, state: Scheduler, runners: list[RunnerState], filler_pressure: float, now: float
     ) -> None:
         self._state = state
         self._contention = state.contention
-        self._pressure = pressed
-        self._away: dict[StepKey, int] = {}
-        self._places = [self._place(runner, now) for runner in runners]
-        images = sorted({image for place in self._places for image in place.images})
+        self._pressure = filler_pressure
+        self._absent: dict[StepKey, int] = {}
+        self._planned_runners = [self._planned_runner(runner, now) for runner in runners]
+        images = sorted({image for planned in self._planned_runners for image in planned.images})
         self._conflicts = {
-            one: {other: self._conflict(one, other) for other in images} for one in images
+            first: {second: self._conflict(first, second) for second in images} for first in images
         }
-        for place in self._places:
-            self._press(place)
-        self._origins: dict[TaskKey, _Place] = {}
-        self._now_at: dict[TaskKey, _Place] = {}
-        self._found = list(self._exchanges(self._places))
+        for planned in self._planned_runners:
+            self._update_losses(planned)
+        self._origins: dict[TaskKey, _PlannedRunner] = {}
+        self._planned_at: dict[TaskKey, _PlannedRunner] = {}
+        self._candidates = list(self._exchanges(self._planned_runners))
 
     def moves(self) -> list[Move]:
-        """Return the moves of the first exchanges that together open the most."""
-        before = self._worth()
+        """Return the moves of the sequence of exchanges with the highest net gain."""
+        before = self._filler_capacity()
         best, best_net = [], 0.0
-        for _ in range(MOST_EXCHANGES):
+        for _ in range(MAX_EXCHANGES):
             if not self._improve():
                 break
-            moves = self._made()
-            net = (self._worth() - before) * self._pressure - LEAST_GAIN * len(moves)
+            moves = self._net_moves()
+            net = (self._filler_capacity() - before) * self._pressure - MIN_GAIN_CORES * len(moves)
             if net > best_net:
                 best, best_net = moves, net
         return best
 
-    def _place(self, runner: RunnerState, now: float) -> _Place:
+    def _planned_runner(self, runner: RunnerState, now: float) -> _PlannedRunner:
         used = Demand(runner.used_millicores, runner.used_memory_mb, runner.used_accelerators)
-        free = _plus(runner.entry.room, used, -1)
-        for promise in runner.promised.values():
-            free = _plus(free, promise.demand, -1)
-        place = _Place(runner, free, open_cores(runner), Counter(runner.serving))
+        free = _add(runner.entry.room, used, -1)
+        for reservation in runner.promised.values():
+            free = _add(free, reservation.demand, -1)
+        planned = _PlannedRunner(runner, free, open_cores(runner), Counter(runner.serving))
         for key, run in runner.runs.items():
             if not run.serves:
                 continue
-            place.steps[_step_of(key)] += 1
-            if now - run.since >= STAY_S and self._may_move(key):
-                place.tasks.setdefault(run.image, []).append(_Task(key, run))
-        return place
+            planned.steps[_step_of(key)] += 1
+            if now - run.since >= MIN_STAY_S and self._may_move(key):
+                planned.tasks.setdefault(run.image, []).append(_Task(key, run))
+        return planned
 
     def _may_move(self, key: TaskKey) -> bool:
-        """Tell whether a task is at work and may be away; a stated bound wants all others there."""
+        """Return whether a task is running and may be absent.
+
+        A step that limits its absent tasks must have all its other tasks running.
+        """
         job = self._state.jobs.get(key.job)
-        if job is None or job.phase in FINAL or not at_work(self._state, key):
+        if job is None or job.phase in FINAL or not is_running(self._state, key):
             return False
         step = job.rounds[key.round].steps[key.step]
         if step.spec.may_be_away < 0:
             return True
-        held = _step_of(key)
-        if held not in self._away:
+        step_key = _step_of(key)
+        if step_key not in self._absent:
             numbers = range(len(step.tasks))
-            complete = all(at_work(self._state, key._replace(number=one)) for one in numbers)
-            self._away[held] = 0 if complete else step.spec.may_be_away
-        return self._away[held] < step.spec.may_be_away
+            complete = all(
+                is_running(self._state, key._replace(number=number)) for number in numbers
+            )
+            self._absent[step_key] = 0 if complete else step.spec.may_be_away
+        return self._absent[step_key] < step.spec.may_be_away
 
-    # What a grouping is worth
+    # Filler capacity of a grouping
 
-    def _worth(self) -> float:
+    def _filler_capacity(self) -> float:
         return sum(
-            max(0.0, place.idle) * self._contention.borne(frozenset(place.images))
-            for place in self._places
+            max(0.0, planned.idle) * self._contention.borne(frozenset(planned.images))
+            for planned in self._planned_runners
         )
 
-    def _conflict(self, one: str, other: str) -> float:
-        """Return the share of fillers that two images on one runner take from each other."""
-        if one == other:
+    def _conflict(self, first: str, second: str) -> float:
+        """Return the share of fillers that only one of two images tolerates."""
+        if first == second:
             return 0.0
         borne = self._contention.borne
-        both = borne(frozenset((one, other)))
-        return borne(frozenset((one,))) + borne(frozenset((other,))) - 2.0 * both
+        both = borne(frozenset((first, second)))
+        return borne(frozenset((first,))) + borne(frozenset((second,))) - 2.0 * both
 
-    def _press(self, place: _Place) -> None:
-        """Work out what one more task of each image would take and lose there."""
-        place.pressed = {
-            image: sum(count * row[other] for other, count in place.images.items())
+    def _update_losses(self, planned: _PlannedRunner) -> None:
+        """Compute the conflict of one more task of each image with those on the runner."""
+        planned.losses = {
+            image: sum(count * row[other] for other, count in planned.images.items())
             for image, row in self._conflicts.items()
         }
 
     # Exchanges
 
     def _improve(self) -> bool:
-        """Carry out the exchange that relieves most on the copy; False if there is none."""
-        self._found.sort(key=lambda one: one.relief, reverse=True)
-        for exchange in self._found:
+        """Apply the feasible exchange with the highest relief; return False if there is none."""
+        self._candidates.sort(key=lambda candidate: candidate.relief, reverse=True)
+        for exchange in self._candidates:
             pair = self._fitting(exchange)
             if pair is not None:
-                self._carry_out(exchange, *pair)
+                self._apply(exchange, *pair)
                 return True
         return False
 
-    def _exchanges(self, changed: list[_Place]) -> Iterator[_Exchange]:
-        """Yield the exchanges that any of some places takes part in."""
-        for number, one in enumerate(changed):
-            for other in self._places:
-                # Of two changed places the pair is weighed once.
-                if other in changed[: number + 1] or other.service != one.service:
+    def _exchanges(self, changed: list[_PlannedRunner]) -> Iterator[_Exchange]:
+        """Yield the exchanges that involve any of the changed runners."""
+        for number, first in enumerate(changed):
+            for second in self._planned_runners:
+                # A pair of two changed runners is considered once.
+                if second in changed[: number + 1] or second.service != first.service:
                     continue
-                yield from self._between(one, other)
-
-    def _between(self, one: _Place, other: _Place) -> Iterator[_Exchange]:
-        """Yield the exchanges of one task for one of another image, or for none, that relieve."""
-        for going in one.tasks:
-            left = one.pressed[going] - other.pressed[going]
-            if left >= LEAST_RELIEF:
-                yield _Exchange(left, one, other, going, "")
-            row = self._conflicts[going]
-            for coming in other.tasks:
-                came = other.pressed[coming] - one.pressed[coming]
-                # Each was pressed by the other where it comes from, and is not where it goes.
-                relief = (left + came + 2.0 * row[coming]) / 2.0
-                if relief >= LEAST_RELIEF and coming != going:
-                    yield _Exchange(relief, one, other, going, coming)
-        for coming in other.tasks:
-            left = other.pressed[coming] - one.pressed[coming]
-            if left >= LEAST_RELIEF:
-                yield _Exchange(left, other, one, coming, "")
+                yield from self._pair_exchanges(first, second)
+
+    def _pair_exchanges(self, first: _PlannedRunner, second: _PlannedRunner) -> Iterator[_Exchange]:
+        """Yield the exchanges of two runners with enough relief, of two tasks or of one."""
+        for outgoing in first.tasks:
+            move_relief = first.losses[outgoing] - second.losses[outgoing]
+            if move_relief >= MIN_RELIEF:
+                yield _Exchange(move_relief, first, second, outgoing, "")
+            row = self._conflicts[outgoing]
+            for incoming in second.tasks:
+                return_relief = second.losses[incoming] - first.losses[incoming]
+                # The losses at each destination still include the other task, which leaves it.
+                relief = (move_relief + return_relief + 2.0 * row[incoming]) / 2.0
+                if relief >= MIN_RELIEF and incoming != outgoing:
+                    yield _Exchange(relief, first, second, outgoing, incoming)
+        for incoming in second.tasks:
+            move_relief = second.losses[incoming] - first.losses[incoming]
+            if move_relief >= MIN_RELIEF:
+                yield _Exchange(move_relief, second, first, incoming, "")
 
     def _fitting(self, exchange: _Exchange) -> tuple[_Task, _Task | None] | None:
-        """Return the tasks of an exchange that fit best, or None."""
-        one, other = exchange.one, exchange.other
+        """Return the feasible tasks of an exchange that are closest in size, or None."""
+        first, second = exchange.first, exchange.second
         best: tuple[_Task, _Task | None] | None = None
-        least = 0
+        smallest_difference = 0
         back: list[_Task | None] = [None]
-        if exchange.coming:
-            back = list(other.tasks[exchange.coming])
-        for going in one.tasks[exchange.going]:
-            if not self._allowed(going, other):
+        if exchange.incoming:
+            back = list(second.tasks[exchange.incoming])
+        for outgoing in first.tasks[exchange.outgoing]:
+            if not self._allowed(outgoing, second):
                 continue
-            for coming in back:
-                if coming is not None and not self._allowed(coming, one):
+            for incoming in back:
+                if incoming is not None and not self._allowed(incoming, first):
                     continue
-                if not _fits_swapped(one, other, going, coming):
+                if not _fits_swapped(first, second, outgoing, incoming):
                     continue
-                uneven = going.run.demand.millicores
-                if coming is not None:
-                    uneven = abs(uneven - coming.run.demand.millicores)
-                if best is None or uneven < least:
-                    best, least = (going, coming), uneven
+                difference = outgoing.run.demand.millicores
+                if incoming is not None:
+                    difference = abs(difference - incoming.run.demand.millicores)
+                if best is None or difference < smallest_difference:
+                    best, smallest_difference = (outgoing, incoming), difference
         return best
 
-    def _allowed(self, task: _Task, place: _Place) -> bool:
-        held = self._state.jobs[task.key.job].rounds[task.key.round].steps[task.key.step]
-        step: Step = held.spec
-        if step.label and step.label not in place.runner.entry.labels:
+    def _allowed(self, task: _Task, planned: _PlannedRunner) -> bool:
+        step_state = self._state.jobs[task.key.job].rounds[task.key.round].steps[task.key.step]
+        step: Step = step_state.spec
+        if step.label and step.label not in planned.runner.entry.labels:
             return False
-        bound = step.max_per_instance
-        if bound and place.steps[_step_of(task.key)] >= bound:
+        limit = step.max_per_instance
+        if limit and planned.steps[_step_of(task.key)] >= limit:
             return False
         origin = self._origins.get(task.key)
-        # Who moves for the first time in this plan has to be free to be away.
+        # A task that moves for the first time in this plan must be allowed to be absent.
         return origin is not None or self._may_move(task.key)
 
-    def _carry_out(self, exchange: _Exchange, going: _Task, coming: _Task | None) -> None:
-        self._shift(going, exchange.one, exchange.other)
-        if coming is not None:
-            self._shift(coming, exchange.other, exchange.one)
-        changed = [exchange.one, exchange.other]
-        for place in changed:
-            self._press(place)
-        kept = [held for held in self._found if held.one not in changed]
-        self._found = [held for held in kept if held.other not in changed]
-        self._found += self._exchanges(changed)
-
-    def _shift(self, task: _Task, source: _Place, place: _Place) -> None:
+    def _apply(self, exchange: _Exchange, outgoing: _Task, incoming: _Task | None) -> None:
+        self._shift(outgoing, exchange.first, exchange.second)
+        if incoming is not None:
+            self._shift(incoming, exchange.second, exchange.first)
+        changed = [exchange.first, exchange.second]
+        for planned in changed:
+            self._update_losses(planned)
+        remaining = [candidate for candidate in self._candidates if candidate.first not in changed]
+        self._candidates = [candidate for candidate in remaining if candidate.second not in changed]
+        self._candidates += self._exchanges(changed)
+
+    def _shift(self, task: _Task, source: _PlannedRunner, planned: _PlannedRunner) -> None:
         step = _step_of(task.key)
         if task.key not in self._origins:
             self._origins[task.key] = source
-            if step in self._away:
-                self._away[step] += 1
-        self._now_at[task.key] = place
+            if step in self._absent:
+                self._absent[step] += 1
+        self._planned_at[task.key] = planned
         image, demand = task.run.image, task.run.demand
-        for held, sign in ((source, -1), (place, 1)):
-            held.free = _plus(held.free, demand, -sign)
-            held.idle -= sign * demand.millicores * SERVING_USE / 1000.0
-            held.steps[step] += sign
-            held.images[image] += sign
+        for changed, sign in ((source, -1), (planned, 1)):
+            changed.free = _add(changed.free, demand, -sign)
+            changed.idle -= sign * demand.millicores * SERVING_USE / 1000.0
+            changed.steps[step] += sign
+            changed.images[image] += sign
         source.tasks[image].remove(task)
-        place.tasks.setdefault(image, []).append(task)
+        planned.tasks.setdefault(image, []).append(task)
         if not source.tasks[image]:
             del source.tasks[image]
         if not source.images[image]:
             del source.images[image]
 
-    def _made(self) -> list[Move]:
-        """Return the moves from where tasks are to where the copy has them."""
+    def _net_moves(self) -> list[Move]:
+        """Return the moves from the present runners of tasks to the planned ones."""
         return [
-            Move(key, origin.runner.id, self._now_at[key].runner.id)
+            Move(key, origin.runner.id, self._planned_at[key].runner.id)
             for key, origin in self._origins.items()
-            if self._now_at[key] is not origin
+            if self._planned_at[key] is not origin
         ]
 
 
@@ -329,19 +337,21 @@
     return (key.job, key.round, key.step)
 
 
-def _plus(one: Demand, other: Demand, sign: int) -> Demand:
-    return Demand(*(have + sign * more for have, more in zip(one, other, strict=True)))
+def _add(first: Demand, second: Demand, sign: int) -> Demand:
+    return Demand(*(have + sign * more for have, more in zip(first, second, strict=True)))
 
 
-def _fits_swapped(one: _Place, other: _Place, going: _Task, coming: _Task | None) -> bool:
-    back = coming.run.demand if coming is not None else Demand()
-    there = _plus(_plus(other.free, back, 1), going.run.demand, -1)
-    here = _plus(_plus(one.free, going.run.demand, 1), back, -1)
+def _fits_swapped(
+    first: _PlannedRunner, second: _PlannedRunner, outgoing: _Task, incoming: _Task | None
+) -> bool:
+    back = incoming.run.demand if incoming is not None else Demand()
+    there = _add(_add(second.free, back, 1), outgoing.run.demand, -1)
+    here = _add(_add(first.free, outgoing.run.demand, 1), back, -1)
     return min(there) >= 0 and min(here) >= 0
 
 
-def at_work(state: Scheduler, key: TaskKey) -> bool:
-    """Tell whether a lasting task is at work."""
+def is_running(state: Scheduler, key: TaskKey) -> bool:
+    """Return whether a lasting task is running at full pace."""
     task = state.jobs[key.job].task(key)
     runner = state.runners.get(task.runner)
     run = runner.runs.get(key) if task.phase is Phase.BOUND and runner is not None else None
--- a/spoolcrank/filler_pace.py
+++ b/spoolcrank/filler_pace.py
@@ -1,4 +1,4 @@
-"""Set the pace of fillers, and make way for what comes to serve beside them."""
+"""Set the pace of fillers, and slow them down before a serving task starts beside them."""
 
 import math
 from collections.abc import Iterator
@@ -10,21 +10,21 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import TaskKey
 
-AIM = 0.72
-"""Paces are set so that the tail should come to this share of its target."""
+AIM_RATIO = 0.72
+"""Ratio of tail latency to target that the paces are set for."""
 
-LEAST_PACE = 40
-"""A filler that is held back works at this share at least, percent, but where a tail stays over its
-target. One that crawls holds its place, its memory and all later steps of its job: at 10 the job
-missed its time all the same, fillers earned 0.086 less of what they were owed and serving jobs as
-much as at 40 (6 paired days)."""
+MIN_PACE = 40
+"""Lowest pace of a slowed filler, percent, except where a tail latency stays over its target. A
+slower filler occupies its runner and memory and delays all later steps of its job. At a pace of 10
+the job still missed its objective; over 6 paired days, fillers earned 0.086 less of the value they
+could earn, and serving jobs earned as much as at 40."""
 
-HALF_PACE = 50
-"""At this pace or less a filler counts as slow, percent."""
+MAX_SLOW_PACE = 50
+"""Pace up to which a filler counts as slow, percent."""
 
 
 def fillers(runner: RunnerState) -> Iterator[tuple[TaskKey, Run]]:
-    """Yield the fillers at work on a runner."""
+    """Yield the running fillers of a runner."""
     for key, run in runner.runs.items():
         if run.fills and run.stage is RunStage.RUNNING:
             yield key, run
@@ -33,9 +33,9 @@
 def order_pace(
     state: Scheduler, runner: RunnerState, key: TaskKey, run: Run, pace: int, now: float
 ) -> None:
-    """Let a filler work at a share of its speed from now on."""
+    """Order a new pace, in percent, for a filler, and update the time since when it is slow."""
     runner.set_pace(run, pace, now)
-    if pace > HALF_PACE:
+    if pace > MAX_SLOW_PACE:
         run.slow_since = None
     elif run.slow_since is None:
         run.slow_since = now
@@ -44,17 +44,17 @@
 
 
 def make_way(state: Scheduler, runner: RunnerState, image: str, now: float) -> None:
-    """Slow fillers down by what is learnt, before a task that serves is at work beside them."""
+    """Slow fillers down as the model predicts, before a serving task of an image starts running."""
     weight = state.contention.weight
     effects = [
         (key, run, weight(image, run.image) * runner.share(run.paced_millicores))
         for key, run in fillers(runner)
     ]
-    in_all = sum(effect for _, _, effect in effects)
-    allowed = max(0.0, math.log(AIM) - state.contention.base(image))
-    if in_all <= allowed:
+    total_effect = sum(effect for _, _, effect in effects)
+    allowed = max(0.0, math.log(AIM_RATIO) - state.contention.base(image))
+    if total_effect <= allowed:
         return
     for key, run, effect in effects:
-        pace = max(LEAST_PACE, int(run.pace * allowed / in_all))
+        pace = max(MIN_PACE, int(run.pace * allowed / total_effect))
         if effect > SMALL_EFFECT / 2 and pace < run.pace:
             order_pace(state, runner, key, run, pace, now)
--- a/spoolcrank/job_state.py
+++ b/spoolcrank/job_state.py
@@ -1,4 +1,4 @@
-"""Keep where each task of a job stands, and write and read it as the stored progress."""
+"""Hold the state of each task of a job, and convert it to and from the stored progress."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -24,15 +24,25 @@
 
 @dataclass(slots=True)
 class TaskState:
-    """One task: where it stands, its newest run, checkpoint, failures and crashes of runners.
-
-    `refused_by` is the runner that it failed on last; a retry prefers another.
-    `odd_ends` counts runs that were refused, stood still or failed, `odd_on` names the runners that
-    were blamed for that; both of this leader's term.
-    `not_before` delays the next start, monotonic seconds. `wanted` is where a move leads.
-    `apart_from` is since when it looks for a runner for itself; None while it does not.
-    `unheard` is the newest run that was given up without its end; its failure still counts.
-    `preassigned` is the runner that the records give the next run to, once `preassigned_kept`.
+    """State of one task: phase, newest run, checkpoint, failures and crashes of runners.
+
+    Attributes:
+        phase: as stored.
+        run: number of the newest run, 0 before the first.
+        runner: the runner it is bound to; empty unless bound.
+        saved: newest checkpoint.
+        failures: number of failed runs.
+        crashes: evidence of runners that crashed during its newest runs.
+        abandoned_run: newest run that was given up without its end; its failure still counts.
+        refused_by: runner of the last failure; a retry prefers another.
+        abnormal_ends: number of runs that were refused, hung or failed, in this leader's term.
+        abnormal_end_runners: runners to which those ends were attributed, in this leader's term.
+        not_before: earliest time of the next start, monotonic seconds.
+        isolation_wanted_since: time since when it waits for an exclusive runner, or None.
+        wanted: destination of a move.
+        wanted_until: time until which the move is tried, monotonic seconds.
+        preassigned: runner that the records give the next run to.
+        preassigned_stored: whether the record of `preassigned` is stored.
     """
 
     phase: Phase = Phase.WAITING
@@ -53,21 +63,21 @@
     preassigned_kept: bool = False
 
     @property
-    def untouched(self) -> bool:
-        """Tell whether nothing about the task needs to be stored."""
+    def needs_no_record(self) -> bool:
+        """Return whether the task has no state that must be stored."""
         return self.phase is Phase.WAITING and self.run == 0 and self.preassigned == NO_RUNNER
 
 
 @dataclass
 class StepState:
-    """One step of one round.
+    """State of one step of one round.
 
     Attributes:
-        spec: what was asked for.
-        tasks: in order.
-        waiting: the indices of the waiting ones, in order.
-        done: how many are.
-        load: of its tasks together, where they serve.
+        spec: the step as submitted.
+        tasks: states by task number.
+        waiting: indices of the waiting tasks, in order.
+        done: number of tasks that are done.
+        load: common load of its tasks, if they are serving tasks.
     """
 
     spec: Step
@@ -78,21 +88,24 @@
 
     @staticmethod
     def fresh(spec: Step) -> "StepState":
-        """Return a step of which nothing has begun."""
+        """Return a step without any started task."""
         tasks = [TaskState() for _ in range(spec.count)]
         return StepState(spec, tasks, dict.fromkeys(range(spec.count)))
 
     @property
     def finished(self) -> bool:
-        """Tell whether every task is done."""
+        """Return whether every task is done."""
         return self.done == len(self.tasks)
 
     def accountable(self, number: int) -> TaskState:
-        """Return the task that a run's failure counts at: a gang fails, and is given up, whole."""
+        """Return the task that records the failures of a run.
+
+        A gang fails, and is given up, as a whole, so that its first task records them.
+        """
         return self.tasks[0 if self.spec.gang else number]
 
     def finish_all(self) -> None:
-        """Mark every task as done: one end of a gang stands for all."""
+        """Mark every task as done; the end of one task of a gang counts for all."""
         for task in self.tasks:
             task.phase = Phase.DONE
             task.runner = NO_RUNNER
@@ -101,24 +114,24 @@
         self.waiting.clear()
 
     def per_runner(self) -> dict[RunnerId, int]:
-        """Return how many tasks of the step each runner holds."""
-        held: dict[RunnerId, int] = {}
+        """Return the number of tasks of the step that are bound to each runner."""
+        counts: dict[RunnerId, int] = {}
         for task in self.tasks:
             if task.phase is Phase.BOUND:
-                held[task.runner] = held.get(task.runner, 0) + 1
-        return held
+                counts[task.runner] = counts.get(task.runner, 0) + 1
+        return counts
 
 
 @dataclass
 class RoundState:
-    """One round of a job's steps."""
+    """State of one round of a job's steps."""
 
     number: int
     steps: list[StepState]
 
     @property
     def finished(self) -> bool:
-        """Tell whether every step is done."""
+        """Return whether every step is done."""
         return all(step.finished for step in self.steps)
 
     def ready(self) -> Iterator[tuple[int, StepState]]:
@@ -132,17 +145,17 @@
 
 @dataclass
 class JobState:
-    """One job that the leader works on.
+    """State of one job of the leader.
 
     Attributes:
-        id: as its submitter chose it.
-        order: offset of its record; earlier ones came first.
-        rounds: those that are due and not done, by number.
-        rounds_done: rounds from the first on that are done and forgotten.
+        id: chosen by the submitter.
+        order: offset of its record in the store; jobs submitted earlier have lower ones.
+        rounds: rounds that are due and not done, by number.
+        rounds_done: number of rounds, from the first on, that are done and removed.
         begun: whether any task was ever bound.
-        accepted_at: when it was accepted, monotonic seconds of this process.
-        started_at: when a task of it was last bound by this leader, or since when it may be.
-        objective_s: within what time from then it should finish.
+        accepted_at: time of acceptance, monotonic seconds of this process.
+        started_at: time when this leader last bound a task of it, or since when it could.
+        objective_s: time from `accepted_at` within which it should finish.
     """
 
     id: JobId
@@ -158,37 +171,37 @@
 
     @property
     def lasting(self) -> bool:
-        """Tell whether some step runs until the job is cancelled."""
+        """Return whether any step runs until the job is cancelled."""
         return any(step.lasting for step in self.record.workflow.steps)
 
     @property
-    def rounds_in_all(self) -> int:
-        """Return how many rounds the job has; one without times has one."""
+    def total_rounds(self) -> int:
+        """Return the number of rounds; a job without a schedule has one."""
         return max(1, self.record.workflow.rounds)
 
     def begin(self) -> None:
-        """Take note that a task is bound."""
+        """Record that a task is bound; a pending job becomes running."""
         self.begun = True
         if self.phase is JobPhase.PENDING:
             self.phase = JobPhase.RUNNING
 
     def drop_preassigned(self) -> None:
-        """Forget which runners the next runs are preassigned to."""
-        for held in self.rounds.values():
-            for step in held.steps:
+        """Clear the preassigned runners of all tasks."""
+        for round_state in self.rounds.values():
+            for step in round_state.steps:
                 for task in step.tasks:
                     task.preassigned, task.preassigned_kept = NO_RUNNER, False
 
     def open_round(self, number: int) -> RoundState:
-        """Return a round, begun afresh if it is new."""
-        held = self.rounds.get(number)
-        if held is None:
+        """Return a round; create it if it is not open."""
+        round_state = self.rounds.get(number)
+        if round_state is None:
             steps = [StepState.fresh(step) for step in self.record.workflow.steps]
-            held = self.rounds[number] = RoundState(number, steps)
-        return held
+            round_state = self.rounds[number] = RoundState(number, steps)
+        return round_state
 
     def open_due(self, time_of_day_ms: float) -> None:
-        """Open every round that has fallen due."""
+        """Open every round whose scheduled time has come, given the time of day in ms."""
         flow = self.record.workflow
         if not flow.rounds:
             if not self.rounds_done:
@@ -200,94 +213,100 @@
             self.open_round(number)
 
     def close_rounds(self) -> None:
-        """Forget rounds that are done, from the first on."""
+        """Remove the rounds that are done, from the first up to one that is not."""
         while self.rounds_done in self.rounds and self.rounds[self.rounds_done].finished:
             del self.rounds[self.rounds_done]
             self.rounds_done += 1
 
     @property
     def all_done(self) -> bool:
-        """Tell whether every round is done."""
-        return self.rounds_done >= self.rounds_in_all
+        """Return whether every round is done."""
+        return self.rounds_done >= self.total_rounds
 
     def task(self, key: TaskKey) -> TaskState:
-        """Return one task's state; its round is open."""
+        """Return the state of a task, whose round must be open."""
         return self.rounds[key.round].steps[key.step].tasks[key.number]
 
     def accountable(self, key: TaskKey) -> TaskState:
-        """Return the task that failures of a run are counted at; its round is open."""
+        """Return the task that records the failures of a run; its round must be open."""
         return self.rounds[key.round].steps[key.step].accountable(key.number)
 
     def has(self, key: TaskKey) -> bool:
-        """Tell whether a task is one of this job's open rounds."""
-        held = self.rounds.get(key.round)
-        if held is None or not 0 <= key.step < len(held.steps):
+        """Return whether a task belongs to an open round of this job."""
+        round_state = self.rounds.get(key.round)
+        if round_state is None or not 0 <= key.step < len(round_state.steps):
             return False
-        return 0 <= key.number < len(held.steps[key.step].tasks)
+        return 0 <= key.number < len(round_state.steps[key.step].tasks)
 
     def bound(self) -> Iterator[tuple[TaskKey, TaskState]]:
-        """Yield the tasks that may be on a runner."""
-        for number, held in self.rounds.items():
-            for step_number, step in enumerate(held.steps):
+        """Yield the bound tasks, which may be on a runner."""
+        for number, round_state in self.rounds.items():
+            for step_number, step in enumerate(round_state.steps):
                 for index, task in enumerate(step.tasks):
                     if task.phase is Phase.BOUND:
                         yield TaskKey(self.id, number, step_number, index), task
 
     def progress(self) -> Progress:
-        """Return what is stored of the job."""
-        marks = []
-        for number, held in self.rounds.items():
-            for step_number, step in enumerate(held.steps):
-                mark = _mark(number, step_number, step)
-                if mark is not None:
-                    marks.append(mark)
-        return Progress(self.phase.value, tuple(marks), self.rounds_done)
+        """Return the progress of the job to be stored."""
+        stored_steps = []
+        for number, round_state in self.rounds.items():
+            for step_number, step in enumerate(round_state.steps):
+                stored_step = _stored_step(number, step_number, step)
+                if stored_step is not None:
+                    stored_steps.append(stored_step)
+        return Progress(self.phase.value, tuple(stored_steps), self.rounds_done)
 
     def restore(self, progress: Progress) -> None:
-        """Take over what an earlier leader stored; raises Unreadable if it is of another job."""
+        """Load the progress that an earlier leader stored.
+
+        Raises:
+            Unreadable: the progress does not match the steps of this job.
+        """
         try:
             self._restore(progress)
         except (LookupError, ValueError) as exc:
-            raise Unreadable(f"progress of another job: {exc!r}") from exc
+            raise Unreadable(f"stored progress does not match the job: {exc!r}") from exc
 
     def _restore(self, progress: Progress) -> None:
         self.phase = JobPhase(progress.phase)
         self.rounds_done = progress.rounds_done
         self.begun = progress.phase != JobPhase.PENDING.value
-        for mark in progress.steps:
-            step = self.open_round(mark.round).steps[mark.step]
-            if mark.done:
+        for stored_step in progress.steps:
+            step = self.open_round(stored_step.round).steps[stored_step.step]
+            if stored_step.done:
                 step.finish_all()
-            for task_mark in mark.tasks:
-                _restore_task(step, task_mark)
+            for stored_task in stored_step.tasks:
+                _restore_task(step, stored_task)
 
 
-def _mark(number: int, step_number: int, step: StepState) -> StepMark | None:
+def _stored_step(number: int, step_number: int, step: StepState) -> StepMark | None:
     if step.finished:
         return StepMark(number, step_number, True)
     tasks = tuple(
-        _task_mark(index, task) for index, task in enumerate(step.tasks) if not task.untouched
+        _stored_task(index, task)
+        for index, task in enumerate(step.tasks)
+        if not task.needs_no_record
     )
     return StepMark(number, step_number, False, tasks) if tasks else None
 
 
-def _task_mark(index: int, task: TaskState) -> TaskMark:
-    """Return what is stored of a task; a preassigned one counts as bound there."""
+def _stored_task(index: int, task: TaskState) -> TaskMark:
+    """Return the stored form of a task; a preassigned one is stored as bound to that runner."""
     phase, run, runner = task.phase, task.run, task.runner
     if phase is Phase.WAITING and task.preassigned != NO_RUNNER:
         phase, run, runner = Phase.BOUND, task.run + 1, task.preassigned
     return TaskMark(index, phase.value, run, runner, task.saved, task.failures, task.crashes)
 
 
-def _restore_task(step: StepState, mark: TaskMark) -> None:
-    task = step.tasks[mark.index]
-    task.phase = Phase(mark.phase)
-    task.run = mark.run
-    task.runner = RunnerId(mark.runner)
-    task.saved = mark.saved
-    task.failures = mark.failures
-    task.crashes = mark.crashes
+def _restore_task(step: StepState, stored_task: TaskMark) -> None:
+    task = step.tasks[stored_task.index]
+    task.phase = Phase(stored_task.phase)
+    task.run = stored_task.run
+    task.runner = RunnerId(stored_task.runner)
+    task.saved = stored_task.saved
+    task.failures = stored_task.failures
+    task.crashes = stored_task.crashes
     if task.phase is not Phase.WAITING:
-        step.waiting.pop(mark.index, None)
+        step.waiting.pop(stored_task.index, None)
     if task.phase is Phase.DONE:
         step.done += 1
--- a/spoolcrank/learnt.py
+++ b/spoolcrank/learnt.py
@@ -1,17 +1,17 @@
-"""Store what a leader has learnt, for the next one."""
+"""Encode and decode the learned state that a leader stores for the next one."""
 
 import msgspec
 
-from spoolcrank.contention import LearntImage
+from spoolcrank.contention import StoredServingImage
 from spoolcrank.reading import reader
-from spoolcrank.step_times import LearntTimes
+from spoolcrank.step_times import QueueTimes
 
 
 class Learnt(msgspec.Struct, frozen=True, array_like=True):
-    """What is stored: weights of pairs of images, and the times of queues' tasks."""
+    """Stored state: weights of pairs of images, and times of the tasks of each queue."""
 
-    images: tuple[LearntImage, ...] = ()
-    times: tuple[LearntTimes, ...] = ()
+    images: tuple[StoredServingImage, ...] = ()
+    times: tuple[QueueTimes, ...] = ()
 
 
 encode_learnt = msgspec.json.Encoder().encode
--- a/spoolcrank/pacing.py
+++ b/spoolcrank/pacing.py
@@ -1,8 +1,8 @@
-"""Hold fillers back where the tail of what serves beside them nears its target."""
+"""Slow fillers down where the tail latency of serving tasks beside them nears its target."""
 
 import math
 
-from spoolcrank.filler_pace import AIM, LEAST_PACE, fillers, order_pace
+from spoolcrank.filler_pace import AIM_RATIO, MIN_PACE, fillers, order_pace
 from spoolcrank.mechanisms import Mechanism
 from spoolcrank.orders import Report
 from spoolcrank.packing import SMALL_EFFECT, SURELY_HARMLESS
@@ -11,40 +11,42 @@
 from spoolcrank.runs import Run
 from spoolcrank.scheduler import Scheduler
 
-REPORT_EVERY_S = 0.5
-"""Figures cover so long, s; a poll within it tells nothing new."""
+REPORT_WINDOW_S = 0.5
+"""Time that the metrics of one report cover, seconds. A poll within this time returns no new
+metrics."""
 
-PRESSED = 0.85
-"""A tail over this share of its target slows the fillers that cause it."""
+SLOW_DOWN_RATIO = 0.85
+"""Ratio of tail latency to target from which the fillers that cause it are slowed down."""
 
-RELAXED = 0.6
-"""Fillers get faster again while every tail is below this share of its target."""
+SPEED_UP_RATIO = 0.6
+"""Ratio of tail latency to target up to which, on every serving task, fillers may speed up."""
 
 SETTLE_S = 0.6
-"""Between two changes of one filler's pace, s: its effect shows in the report after next."""
+"""Minimum time between two changes of one filler's pace, seconds. The effect of a change shows in
+the report after next."""
 
-PACE_UP = 40
-"""Faster again in steps of at most so many percent."""
+MAX_PACE_INCREASE = 40
+"""Largest increase of a pace in one step, percentage points."""
 
-OVER_S = 1.3
-"""Where a tail stays over its target for so long, every filler beside it stands still, s; with
-a report each second that is well before the 4 s after which it counts as harm."""
+HALT_AFTER_S = 1.3
+"""Time over target after which every filler on the runner is halted, seconds. With a report each
+second this is well before the 4 s after which a tail latency over target counts as harm."""
 
 MOVE_AFTER_S = 1.0
-"""A filler that worked at half its pace or less for so long moves with its checkpoint, s, if
-there is a place where it slows nothing; stopping and resuming takes about as long."""
+"""Time at half pace or less after which a filler moves with its checkpoint, seconds, if there is a
+runner on which it slows nothing. Stopping and resuming takes about as long."""
 
 
 def learn(state: Scheduler, runner: RunnerState, shares: dict[str, float], now: float) -> None:
-    """Take a runner's newest figures into what is learnt of pairs.
+    """Update the contention model from a runner's newest metrics.
 
     Args:
-        state: the leader's.
-        runner: which one.
-        shares: of its room, what fillers of each image used in the time of the figures.
+        state: the leader's scheduler state.
+        runner: the runner that sent the metrics.
+        shares: share of its processors that fillers of each image used in the time covered.
         now: monotonic seconds.
     """
-    if now - runner.learnt_at < REPORT_EVERY_S:
+    if now - runner.learnt_at < REPORT_WINDOW_S:
         return
     runner.learnt_at = now
     runner.filler_room = None
@@ -55,9 +57,10 @@
 
 
 def filler_use(runner: RunnerState, report: Report, now: float) -> dict[str, float]:
-    """Return what fillers used in the time that a report covers, as shares of the room by image.
+    """Return the shares of a runner's processors that fillers used during a report, by image.
 
-    Those that ended within it are not listed as running any more, but what serves felt them.
+    Fillers that ended within that time are no longer listed as running, but they still affected
+    the serving tasks.
     """
     shares: dict[str, float] = {}
     for row in report.running:
@@ -68,39 +71,39 @@
         run = runner.runs.get(end.task)
         if end.number > runner.seen_next and run is not None and run.number == end.run:
             if run.fills:
-                lived = min(1.0, max(0.0, now - run.since) / REPORT_EVERY_S)
-                used = runner.share(run.used_millicores or run.paced_millicores * lived)
-                shares[run.image] = shares.get(run.image, 0.0) + used
+                fraction = min(1.0, max(0.0, now - run.since) / REPORT_WINDOW_S)
+                used_share = runner.share(run.used_millicores or run.paced_millicores * fraction)
+                shares[run.image] = shares.get(run.image, 0.0) + used_share
     return shares
 
 
 def set_paces(state: Scheduler, runner: RunnerState, now: float) -> None:
-    """Slow fillers down, or let them work faster, by the tails beside them."""
-    pressed = _most_pressed(runner)
-    if pressed is None:
-        _let_go(state, runner, now)
+    """Adjust the pace of the fillers on a runner to the tail latencies of its serving tasks."""
+    slowest = _highest_latency_run(runner)
+    if slowest is None:
+        _restore_full_pace(state, runner, now)
         return
-    ratio = pressed.tail_ms / pressed.target_ms
-    if _over_long(runner, now):
-        _halt(state, runner, now)
-    elif ratio >= PRESSED:
-        _slow_down(state, runner, pressed, ratio, now)
-    elif ratio <= RELAXED:
-        _speed_up(state, runner, pressed, ratio, now)
-    calm = all(run.over_since is None for run in runner.runs.values())
-    if calm and state.uses(Mechanism.FREEING):
-        _free_harmless(state, runner, now)
+    ratio = slowest.tail_ms / slowest.target_ms
+    if _over_target_too_long(runner, now):
+        _halt_fillers(state, runner, now)
+    elif ratio >= SLOW_DOWN_RATIO:
+        _slow_down(state, runner, slowest, ratio, now)
+    elif ratio <= SPEED_UP_RATIO:
+        _speed_up(state, runner, slowest, ratio, now)
+    on_target = all(run.over_since is None for run in runner.runs.values())
+    if on_target and state.uses(Mechanism.FREEING):
+        _speed_up_harmless(state, runner, now)
     if state.uses(Mechanism.MOVING):
-        _move_slow(state, runner, now)
+        _move_slow_fillers(state, runner, now)
 
 
-def _most_pressed(runner: RunnerState) -> Run | None:
+def _highest_latency_run(runner: RunnerState) -> Run | None:
     serving = [run for run in runner.runs.values() if run.serves and run.tail_ms > 0]
     return max(serving, key=lambda run: run.tail_ms / run.target_ms, default=None)
 
 
-def _let_go(state: Scheduler, runner: RunnerState, now: float) -> None:
-    """Let every filler work at full speed: nothing serves beside it, or nothing is known of it."""
+def _restore_full_pace(state: Scheduler, runner: RunnerState, now: float) -> None:
+    """Restore full pace for every filler, unless serving tasks are bound to the runner."""
     if runner.serving:
         return
     for key, run in list(fillers(runner)):
@@ -108,9 +111,9 @@
             order_pace(state, runner, key, run, 100, now)
 
 
-def _over_long(runner: RunnerState, now: float) -> bool:
+def _over_target_too_long(runner: RunnerState, now: float) -> bool:
     return any(
-        run.over_since is not None and now - run.over_since >= OVER_S
+        run.over_since is not None and now - run.over_since >= HALT_AFTER_S
         for run in runner.runs.values()
     )
 
@@ -120,10 +123,11 @@
     return all(harmless(image, run.image) >= SURELY_HARMLESS for image in runner.serving)
 
 
-def _free_harmless(state: Scheduler, runner: RunnerState, now: float) -> None:
-    """Let fillers that surely do no harm work at full speed, whatever the load of what serves.
+def _speed_up_harmless(state: Scheduler, runner: RunnerState, now: float) -> None:
+    """Restore full pace for fillers that almost certainly do no harm, at any load of serving tasks.
 
-    They were slowed while less was known, or stood still for a tail that they did not raise.
+    They were slowed while the model knew less, or were halted because of a tail latency that
+    they did not raise.
     """
     for key, run in list(fillers(runner)):
         if run.pace < 100 and now - run.paced_at >= SETTLE_S:
@@ -131,7 +135,7 @@
                 order_pace(state, runner, key, run, 100, now)
 
 
-def _halt(state: Scheduler, runner: RunnerState, now: float) -> None:
+def _halt_fillers(state: Scheduler, runner: RunnerState, now: float) -> None:
     for key, run in list(fillers(runner)):
         if run.pace > 0:
             order_pace(state, runner, key, run, 0, now)
@@ -143,26 +147,27 @@
 
 
 def _slow_down(
-    state: Scheduler, runner: RunnerState, pressed: Run, ratio: float, now: float
+    state: Scheduler, runner: RunnerState, slowest: Run, ratio: float, now: float
 ) -> None:
-    held = list(fillers(runner))
-    effects = [_effect(state, runner, pressed, run) for _, run in held]
-    causes = [pair for pair, effect in zip(held, effects, strict=True) if effect > SMALL_EFFECT]
-    if not causes and ratio >= 1.0:
-        causes = held
-    too_much = math.log(ratio / AIM)
-    in_all = max(sum(effects), SMALL_EFFECT)
-    factor = max(0.0, 1.0 - too_much / in_all)
-    for key, run in causes:
-        pace = max(LEAST_PACE, int(run.pace * factor))
+    running = list(fillers(runner))
+    effects = [_effect(state, runner, slowest, run) for _, run in running]
+    slowing = [pair for pair, effect in zip(running, effects, strict=True) if effect > SMALL_EFFECT]
+    if not slowing and ratio >= 1.0:
+        slowing = running
+    required_reduction = math.log(ratio / AIM_RATIO)
+    total_effect = max(sum(effects), SMALL_EFFECT)
+    factor = max(0.0, 1.0 - required_reduction / total_effect)
+    for key, run in slowing:
+        pace = max(MIN_PACE, int(run.pace * factor))
         if pace < run.pace and now - run.paced_at >= SETTLE_S:
             order_pace(state, runner, key, run, pace, now)
 
 
-def _expected(state: Scheduler, runner: RunnerState, now: float) -> float:
-    """Return the highest logarithm of tail over target that the paces set last should give.
+def _expected_level(state: Scheduler, runner: RunnerState, now: float) -> float:
+    """Return the highest expected logarithm of tail latency over target at the current paces.
 
-    A report may be older than the paces, and a task that has just begun to serve has few users.
+    A report may be older than the paces, and a serving task that has just started has few
+    users.
     """
     shares = runner.filler_shares(now)
     effects = {image: state.contention.effect(image, shares.items()) for image in runner.serving}
@@ -174,21 +179,25 @@
 
 
 def _speed_up(
-    state: Scheduler, runner: RunnerState, pressed: Run, ratio: float, now: float
+    state: Scheduler, runner: RunnerState, slowest: Run, ratio: float, now: float
 ) -> None:
-    allowed = math.log(AIM) - max(math.log(ratio), _expected(state, runner, now))
+    allowed = math.log(AIM_RATIO) - max(math.log(ratio), _expected_level(state, runner, now))
     for key, run in fillers(runner):
         if run.pace >= 100 or now - run.paced_at < SETTLE_S:
             continue
-        weight = state.contention.weight(pressed.image, run.image)
+        weight = state.contention.weight(slowest.image, run.image)
         per_percent = weight * runner.share(run.wanted_millicores) / 100.0
-        more = PACE_UP if per_percent <= 0 else min(PACE_UP, int(allowed / per_percent))
-        if more > 0:
-            order_pace(state, runner, key, run, min(100, run.pace + more), now)
-            allowed -= more * per_percent
+        increase = (
+            MAX_PACE_INCREASE
+            if per_percent <= 0
+            else min(MAX_PACE_INCREASE, int(allowed / per_percent))
+        )
+        if increase > 0:
+            order_pace(state, runner, key, run, min(100, run.pace + increase), now)
+            allowed -= increase * per_percent
 
 
-def _move_slow(state: Scheduler, runner: RunnerState, now: float) -> None:
+def _move_slow_fillers(state: Scheduler, runner: RunnerState, now: float) -> None:
     for key, run in list(fillers(runner)):
         if run.slow_since is None or now - run.slow_since < MOVE_AFTER_S or not run.checkpoints:
             continue
--- a/spoolcrank/preassignment.py
+++ b/spoolcrank/preassignment.py
@@ -1,10 +1,11 @@
-"""Preassign waiting tasks to runners in the records, so that starts go on without the store.
-
-A start goes out only after its record is kept. Without more nothing starts while the store takes
-no records, 4 to 6 s in the users' days, and most of what works on fillers ends meanwhile: 200 cores
-at work fall to 40. A preassigned task stands in the records as a bound run that was not ordered
-yet, and may start there without another one. Whoever leads next asks the runner for it as for any
-bound run, so that a start which no later record tells of is never made again elsewhere.
+"""Preassign waiting tasks to runners in the records, so that tasks start during a store outage.
+
+A run starts only after its record is stored. Without preassignment, nothing starts while the
+store accepts no records, which lasts 4 to 6 s in the users' workloads, and most running fillers
+end in that time: the processors in use fall from 200 cores to 40. A preassigned task is recorded
+as a bound run that has not been ordered yet, and may start on its runner without another record.
+The next leader asks the runner about it as about any bound run, so that a start without a later
+record is never repeated on another runner.
 """
 
 from collections import Counter
@@ -19,65 +20,67 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL, RunnerId, Step, TaskKey
 
-PREASSIGN_EVERY_S = 0.5
-"""Between two rounds, s: each rewrites the records of some jobs. Chosen; a tenth of the outages
-that it is for."""
+PREASSIGN_INTERVAL_S = 0.5
+"""Time between two updates of the preassignments, seconds; each rewrites the records of some jobs.
+It is about a tenth of the outages to bridge."""
 
-MOST_PREASSIGNED = 4
-"""Tasks for one runner: about what ends there in an outage of 5 s."""
+MAX_PREASSIGNED = 4
+"""Maximum preassigned tasks per runner: about the number that end there in an outage of 5 s."""
 
-RUNNERS_TRIED = 24
-"""Runners weighed for one task, in turn; all of a large fleet would cost processor time."""
+MAX_CANDIDATES = 24
+"""Maximum number of runners considered for one task, in rotation. Considering all runners of a
+large fleet would cost processor time."""
 
-MOST_RUNNERS = 64
-"""Over larger fleets nothing is preassigned, as each round goes over all jobs and waiting tasks. Of
-246 runners the same day earned 0.451 with it and 0.535 without (one play each), with 7 % more
-processor time; up to 33 runners it was measured to gain."""
+MAX_RUNNERS = 64
+"""Number of runners above which nothing is preassigned, as each update goes over all jobs and
+waiting tasks. With 246 runners the same day earned 0.451 with preassignment and 0.535 without (one
+trial each), and used 7 % more processor time. With up to 33 runners preassignment earned more."""
 
-LEAST_LEASE_MS = 2500.0
-"""Such a start extends no lease, as the store may have another leader by now: with less left than
-about one task's time, ms, it would mostly be killed at work. With leases of 7.5 s that also ends
-starts some 6 s after the list of runners, which may say that one leaves, was read last."""
+MIN_LEASE_LEFT_MS = 2500.0
+"""Minimum remaining lease for the start of a preassigned task, ms. Such a start extends no lease,
+as the store may have another leader by then. With less than about one task's duration left, the
+task would usually be killed while running. With leases of 7.5 s the limit also stops starts about
+6 s after the last read of the list of runners, which shows whether a runner leaves."""
 
 RECORDS_LATE_S = 0.12
-"""A record that is on its way for so long, s, is late: thirty times the store's usual answer.
-What is preassigned then starts first."""
+"""Time after which a record that is not stored is late, seconds: thirty times the usual response
+time of the store. Preassigned tasks then start first."""
 
 
 class Preassignments:
-    """When the leader preassigned last, and where it goes on looking for runners."""
+    """Periodic preassignment; keeps the time of the last update and the next runner in rotation."""
 
     def __init__(self) -> None:
-        self._at = -PREASSIGN_EVERY_S
+        self._at = -PREASSIGN_INTERVAL_S
         self._next = 0
         self._active = False
 
     def start(self, state: Scheduler, now: float) -> None:
-        """Start what is preassigned by a kept record, if anything is."""
+        """Start the tasks whose preassignment is stored, if preassignment is active."""
         if self._active:
             start_preassigned(state, now)
 
     def renew(self, state: Scheduler, now: float) -> None:
-        """Preassign the tasks that come next, up to a bound for each runner."""
-        if now - self._at < PREASSIGN_EVERY_S:
+        """Preassign the next tasks, up to a limit for each runner; do nothing between updates."""
+        if now - self._at < PREASSIGN_INTERVAL_S:
             return
         self._at = now
         pools = state.pools(now)
-        self._active = 0 < sum(len(pool) for pool in pools.values()) <= MOST_RUNNERS
+        self._active = 0 < sum(len(pool) for pool in pools.values()) <= MAX_RUNNERS
         if not self._active:
             return
-        left = MOST_PREASSIGNED * sum(len(pool) for pool in pools.values())
-        held: Counter[RunnerId] = Counter()
+        left = MAX_PREASSIGNED * sum(len(pool) for pool in pools.values())
+        preassigned_counts: Counter[RunnerId] = Counter()
         for job in _in_order(state, now):
             pool = pools.get(state.service_of(job), [])
             for key, step in _next_tasks(job):
                 if left <= 0:
                     return
                 left -= 1
-                runner = self._runner_for(state, key, step, pool, held, now)
+                runner = self._runner_for(state, key, step, pool, preassigned_counts, now)
                 preassign(state, job, key, runner)
                 if runner != NO_RUNNER:
-                    held[runner] += 1
+                    preassigned_counts[runner] += 1
 
     def _runner_for(
         self,
@@ -85,84 +88,100 @@
         key: TaskKey,
         step: StepState,
         pool: list[RunnerState],
-        held: Counter[RunnerId],
+        preassigned_counts: Counter[RunnerId],
         now: float,
     ) -> RunnerId:
-        """Return the runner that a task has already, while it is usable, or the best of some."""
+        """Return the present preassigned runner while it is usable, else the best candidate."""
         task = step.tasks[key.number]
         present = state.runners.get(task.preassigned)
-        if present is not None and present.usable(now) and held[present.id] < MOST_PREASSIGNED:
+        if (
+            present is not None
+            and present.usable(now)
+            and preassigned_counts[present.id] < MAX_PREASSIGNED
+        ):
             return present.id
         tried = [
-            pool[(self._next + one) % len(pool)] for one in range(min(RUNNERS_TRIED, len(pool)))
+            pool[(self._next + offset) % len(pool)]
+            for offset in range(min(MAX_CANDIDATES, len(pool)))
         ]
         self._next += len(tried)
         fit = [
             runner
             for runner in tried
-            if held[runner.id] < MOST_PREASSIGNED
+            if preassigned_counts[runner.id] < MAX_PREASSIGNED
             and runner.id != task.refused_by
             and could_ever_hold(step.spec, runner)
         ]
         if not fit:
             return NO_RUNNER
-        return max(fit, key=lambda one: _score(state, step.spec, one, held[one.id])).id
-
-
-def _score(state: Scheduler, step: Step, runner: RunnerState, held: int) -> tuple[float, ...]:
-    """Order runners: where it slows what serves least, then those with the fewest others."""
+        return max(
+            fit,
+            key=lambda candidate: _score(
+                state, step.spec, candidate, preassigned_counts[candidate.id]
+            ),
+        ).id
+
+
+def _score(
+    state: Scheduler, step: Step, runner: RunnerState, preassigned_count: int
+) -> tuple[float, ...]:
+    """Return the sort key of a runner for a task, highest for the best.
+
+    The runner where the task slows serving tasks least comes first, then the one with the fewest
+    preassigned tasks, then the one with the most idle processors.
+    """
     effect = 0.0
     if step.fills:
         share = runner.share(step.millicores)
         effect = worst_effect(step.image, share, runner, state.contention)
-    return (-round(effect, 1), -held, float(runner.idle_millicores))
+    return (-round(effect, 1), -preassigned_count, float(runner.idle_millicores))
 
 
 def _in_order(state: Scheduler, now: float) -> list[JobState]:
-    """Return the jobs with tasks to preassign, in the order of work."""
+    """Return the jobs with tasks to preassign, in work order."""
     alive = [job for job in state.jobs.values() if job.phase not in FINAL]
     jobs = [job for job in alive if job.rounds and not job.lasting]
     return sorted(jobs, key=lambda job: work_order(job, state.times, now))
 
 
 def _next_tasks(job: JobState) -> Iterator[tuple[TaskKey, StepState]]:
-    """Yield the waiting tasks whose turn has come, or comes once what works now is done."""
-    for held in job.rounds.values():
-        for number, step in enumerate(held.steps):
+    """Yield the waiting tasks that are ready, or become ready when the running tasks are done."""
+    for round_state in job.rounds.values():
+        for number, step in enumerate(round_state.steps):
             spec = step.spec
             if not step.waiting or spec.gang or spec.max_per_instance or spec.lasting:
                 continue
-            if any(held.steps[earlier].waiting for earlier in spec.after):
+            if any(round_state.steps[earlier].waiting for earlier in spec.after):
                 continue
             for index in step.waiting:
                 if not own_marks(step.tasks[index].crashes):
-                    # Which runner a suspect may have is decided only as it starts.
-                    yield TaskKey(job.id, held.number, number, index), step
+                    # The runner of a suspect task is chosen only when it starts.
+                    yield TaskKey(job.id, round_state.number, number, index), step
 
 
 def start_preassigned(state: Scheduler, now: float) -> None:
-    """Start what is preassigned by a kept record where there is room, without a new one."""
+    """Start tasks with a stored preassignment where capacity is free, without a new record."""
     ready = [state.jobs[job_id] for job_id in state.ready]
     ready.sort(key=lambda job: work_order(job, state.times, now))
     for job in ready:
-        for held in list(job.rounds.values()):
-            for number, step in list(held.ready()):
+        for round_state in list(job.rounds.values()):
+            for number, step in list(round_state.ready()):
                 for index in list(step.waiting):
-                    key = TaskKey(job.id, held.number, number, index)
+                    key = TaskKey(job.id, round_state.number, number, index)
                     runner = _runner_now(state, job, key, now)
                     if runner is not None:
                         bind(state, job, key, step.tasks[index].run + 1, runner, now)
 
 
 def _runner_now(state: Scheduler, job: JobState, key: TaskKey, now: float) -> RunnerState | None:
-    """Return the runner that a task is preassigned to, if it may start there now."""
+    """Return the preassigned runner of a task, or None if the task may not start there now."""
     task = job.task(key)
     runner = state.runners.get(task.preassigned) if task.preassigned_kept else None
     if runner is None or not runner.usable(now) or task.not_before > now:
         return None
     if runner.entry.service != state.service_of(job):
         return None
-    if runner.granted_ms - runner.clock_lower(now) < LEAST_LEASE_MS:
+    if runner.granted_ms - runner.clock_lower(now) < MIN_LEASE_LEFT_MS:
         return None
     step = job.record.workflow.steps[key.step]
     request = PlacementRequest(step, {}, task.refused_by, task=key)
--- a/spoolcrank/resources.py
+++ b/spoolcrank/resources.py
@@ -1,4 +1,4 @@
-"""Add and compare amounts of processors, memory and accelerators."""
+"""Arithmetic on amounts of processors, memory and accelerators."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 
 class Resources(NamedTuple):
-    """An amount of an instance's resources.
+    """Amount of an instance's resources.
 
     Attributes:
         processors: cores, fractions allowed.
         memory_mb: megabytes.
-        accelerators: whole devices.
+        accelerators: number of whole devices.
     """
 
     processors: float = 0.0
@@ -28,19 +28,19 @@
         )
 
     def minus(self, other: "Resources") -> "Resources":
-        """Return what is left after `other` is taken away; may be negative."""
+        """Return the difference of both amounts, which may be negative."""
         return Resources(
             self.processors - other.processors,
             self.memory_mb - other.memory_mb,
             self.accelerators - other.accelerators,
         )
 
-    def fits_in(self, room: "Resources") -> bool:
-        """Tell whether every part of this amount is within `room`."""
+    def fits_in(self, capacity: "Resources") -> bool:
+        """Return whether every part of this amount is within `capacity`."""
         return (
-            self.processors <= room.processors + _EPSILON
-            and self.memory_mb <= room.memory_mb + _EPSILON
-            and self.accelerators <= room.accelerators
+            self.processors <= capacity.processors + _EPSILON
+            and self.memory_mb <= capacity.memory_mb + _EPSILON
+            and self.accelerators <= capacity.accelerators
         )
 
 
--- a/spoolcrank/slot_use.py
+++ b/spoolcrank/slot_use.py
@@ -1,27 +1,28 @@
-"""Measure how many slots of a runner are in use, to set aside processors for no more.
+"""Track the busy slots of a runner, to reserve processors for no more slots than needed.
 
-A processor set aside for each slot, used or not, takes all of a small instance from batch work.
-An owner counts the requests at its runners exactly, so what is set aside follows the most that
-were there at once of late.
+A processor reserved for every slot, used or not, would leave nothing of a small instance for batch
+work. An owner knows the exact number of requests at its runners, so the reservation follows the
+recent peak of simultaneous requests.
 """
 
 import math
 from typing import NamedTuple
 
 HALF_LIFE_S = 10.0
-"""A peak of requests counts half after so long, s: a burst that comes again within seconds finds
-its processors, and a server that is new to its owner opens to batch work within half a minute."""
+"""Time in which a peak of requests decays to half, seconds. A burst that recurs within seconds
+finds its processors reserved, and a backend server that is new to its owner accepts batch work
+within half a minute."""
 
 SPARE_SLOTS = 1
-"""Set aside beyond the peak, so that the next request finds a processor too."""
+"""Number of slots reserved beyond the peak, so that the next request finds a processor too."""
 
 
 class SlotUse(NamedTuple):
-    """The most slots of one runner that were busy at once, older peaks counting less.
+    """Decaying peak of the number of busy slots of one runner.
 
     Attributes:
         peak: in slots.
-        at: when it was last brought up to date, monotonic seconds.
+        at: time of the last update, monotonic seconds.
     """
 
     peak: float
@@ -29,17 +30,17 @@
 
 
 def all_busy(slots: int, now: float) -> SlotUse:
-    """Return the use of a runner that was not watched yet: it may be full."""
+    """Return the use of a runner without observations, which may be full."""
     return SlotUse(float(slots), now)
 
 
 def seen(use: SlotUse, busy: int, now: float) -> SlotUse:
-    """Return the use after `busy` slots were seen in use."""
-    faded = use.peak * 0.5 ** (max(0.0, now - use.at) / HALF_LIFE_S)
-    return SlotUse(max(float(busy), faded), now)
+    """Return the use after an observation of `busy` slots in use."""
+    decayed_peak = use.peak * 0.5 ** (max(0.0, now - use.at) / HALF_LIFE_S)
+    return SlotUse(max(float(busy), decayed_peak), now)
 
 
 def kept_slots(use: SlotUse, slots: int) -> int:
-    """Return for how many of a runner's slots processors are set aside."""
-    # Halves are rounded up, so that a peak of one slot counts for one half-life.
+    """Return the number of slots of a runner for which processors are reserved."""
+    # Halves are rounded up, so that a peak of one slot is reserved for one half-life.
     return min(slots, math.floor(use.peak + 0.5) + SPARE_SLOTS)
--- a/spoolcrank/step_times.py
+++ b/spoolcrank/step_times.py
@@ -1,8 +1,9 @@
-"""Learn how long the tasks of a queue's steps really take.
+"""Learn the actual run times of the tasks of each queue.
 
-Estimates that come with jobs may be off by any factor. For each queue the logarithm of a task's
-time is taken as a line over the logarithm of its estimate, fitted to the tasks that ended at full
-pace. Where estimates say little the line is flat, and a step counts as the queue's usual one.
+The estimates in jobs may be wrong by any factor. For each queue, the logarithm of a task's time is
+modelled as a linear function of the logarithm of its estimate, fitted to the tasks that ran at full
+pace until they were done. Where estimates carry little information the line is flat, and the
+expected time is the usual one of the queue.
 """
 
 import math
@@ -12,20 +13,21 @@
 
 from spoolcrank.workflow import RouteName
 
-PRIOR_POINTS = 4.0
-"""Weight, in tasks, of the belief that an estimate is right; some tens of tasks outweigh it."""
+PRIOR_TASKS = 4.0
+"""Weight, in tasks, of the prior that estimates are right; some tens of tasks outweigh it."""
 
-PRIOR_SPREAD = 0.25
-"""Variance of the estimates' logarithms in those points; 0.5 is their measured deviation."""
+PRIOR_VARIANCE = 0.25
+"""Variance of the logarithms of the estimates in the prior; their standard deviation is 0.5."""
 
-MEMORY_POINTS = 400.0
-"""Tasks after whose number older ones count half as much: some half a minute at the peak."""
+MAX_TASKS_BEFORE_HALVING = 400.0
+"""Weight, in tasks, at which the weight of all recorded tasks is halved. At peak load it is reached
+in about half a minute."""
 
-LEAST_MS = 20.0
-"""Shorter estimates and times count as this, ms; 0 has no logarithm."""
+MIN_TIME_MS = 20.0
+"""Lower limit of estimates and times, ms, because 0 has no logarithm."""
 
 
-class LearntTimes(msgspec.Struct, array_like=True):
+class QueueTimes(msgspec.Struct, array_like=True):
     """Weighted sums over a queue's ended tasks: points, x, y, x squared, x times y.
 
     x is the logarithm of the estimate, y of the time, both in ms.
@@ -40,44 +42,44 @@
 
 
 class StepTimes:
-    """What one leader has learnt of the times of tasks."""
+    """One leader's model of the times of tasks, by queue."""
 
     def __init__(self) -> None:
-        self._queues: dict[RouteName, LearntTimes] = {}
+        self._queues: dict[RouteName, QueueTimes] = {}
 
-    def learnt(self) -> tuple[LearntTimes, ...]:
-        """Return what the next leader should start from."""
+    def learnt(self) -> tuple[QueueTimes, ...]:
+        """Return the state for the next leader."""
         return tuple(self._queues.values())
 
-    def restore(self, learnt: Iterable[LearntTimes]) -> None:
-        """Take over what an earlier leader learnt."""
-        self._queues = {one.queue: one for one in learnt}
+    def restore(self, queues: Iterable[QueueTimes]) -> None:
+        """Load the state that an earlier leader stored."""
+        self._queues = {times.queue: times for times in queues}
 
     def learn(self, queue: RouteName, estimate_ms: float, took_ms: float) -> None:
-        """Take the time of one task that worked at full pace until it was done."""
-        held = self._queues.setdefault(queue, LearntTimes(queue))
+        """Add the time of one task that ran at full pace until it was done."""
+        times = self._queues.setdefault(queue, QueueTimes(queue))
         x, y = _log(estimate_ms), _log(took_ms)
-        keep = 1.0 if held.points < MEMORY_POINTS else 0.5
-        held.points = held.points * keep + 1.0
-        held.x = held.x * keep + x
-        held.y = held.y * keep + y
-        held.xx = held.xx * keep + x * x
-        held.xy = held.xy * keep + x * y
+        decay = 1.0 if times.points < MAX_TASKS_BEFORE_HALVING else 0.5
+        times.points = times.points * decay + 1.0
+        times.x = times.x * decay + x
+        times.y = times.y * decay + y
+        times.xx = times.xx * decay + x * x
+        times.xy = times.xy * decay + x * y
 
     def expected_ms(self, queue: RouteName, estimate_ms: float) -> float:
-        """Return how long a task of an estimate likely takes."""
-        held = self._queues.get(queue)
-        if held is None or estimate_ms <= 0:
+        """Return the expected time of a task, ms; without a model, its estimate."""
+        times = self._queues.get(queue)
+        if times is None or estimate_ms <= 0:
             return estimate_ms
-        mean_x, mean_y = held.x / held.points, held.y / held.points
-        # The prior's points lie on the line y = x around the estimates' mean.
-        pull = PRIOR_POINTS * PRIOR_SPREAD
-        spread = max(0.0, held.xx - held.points * mean_x * mean_x) + pull
-        slope = (held.xy - held.points * mean_x * mean_y + pull) / spread
-        trust = held.points / (held.points + PRIOR_POINTS)
-        middle = mean_x + trust * (mean_y - mean_x)
-        return math.exp(middle + slope * (_log(estimate_ms) - mean_x))
+        mean_x, mean_y = times.x / times.points, times.y / times.points
+        # The prior's tasks lie on the line y = x around the mean of the estimates.
+        prior_weight = PRIOR_TASKS * PRIOR_VARIANCE
+        spread = max(0.0, times.xx - times.points * mean_x * mean_x) + prior_weight
+        slope = (times.xy - times.points * mean_x * mean_y + prior_weight) / spread
+        confidence = times.points / (times.points + PRIOR_TASKS)
+        mean_log_time = mean_x + confidence * (mean_y - mean_x)
+        return math.exp(mean_log_time + slope * (_log(estimate_ms) - mean_x))
 
 
 def _log(ms: float) -> float:
-    return math.log(max(LEAST_MS, ms))
+    return math.log(max(MIN_TIME_MS, ms))
--- a/tests/test_preassignment.py
+++ b/tests/test_preassignment.py
@@ -8,8 +8,8 @@
 from spoolcrank.job_state import JobState
 from spoolcrank.orders import Start
 from spoolcrank.preassignment import (
-    MOST_PREASSIGNED,
-    MOST_RUNNERS,
+    MAX_PREASSIGNED,
+    MAX_RUNNERS,
     Preassignments,
     start_preassigned,
 )
@@ -120,7 +120,7 @@
                     if runner:
                         preassigned[runner] = preassigned.get(runner, 0) + 1
     assert preassigned
-    assert max(preassigned.values()) <= MOST_PREASSIGNED
+    assert max(preassigned.values()) <= MAX_PREASSIGNED
 
 
 def test_a_start_without_the_store_extends_no_lease() -> None:
@@ -164,7 +164,7 @@
 
 
 def test_a_large_fleet_preassigns_nothing() -> None:
-    world = small(runners=MOST_RUNNERS + 1)
+    world = small(runners=MAX_RUNNERS + 1)
     for number in range(200):
         world.instances["entry-0"].submit(f"{number:04x}", Step(count=8, millicores=1000))
     world.run(1.5)
