--- a/spoolcrank/batching.py
+++ b/spoolcrank/batching.py
@@ -1,4 +1,4 @@
-"""Gather the leader's records into batches, and go on with what waited for them to be kept."""
+"""Collect the leader's records into batches, and carry out what waited for them to be stored."""
 
 from spoolcrank.ids import JobId
 from spoolcrank.keyed_log import LEARNT_KEY, KeyedRecord, cancel_key, job_key, progress_key
@@ -10,30 +10,36 @@
 from spoolcrank.workflow import encode_progress
 
 KEEP_ENDED_S = 150.0
-"""Records of an ended job are dropped after so long, s; states are asked for 120 s."""
+"""Time after its end for which a job's records are stored, in seconds. Clients ask for states for
+120 s."""
 
-KEEP_LEARNT_S = 3.0
-"""What is learnt of pairs is stored so often, s; some kilobytes that every instance reads."""
+LEARNED_STORE_INTERVAL_S = 3.0
+"""Interval at which the learned state is stored, in seconds. It has some kilobytes, and every
+instance reads them."""
 
 
 def take_batch(state: Scheduler) -> Batch | None:
-    """Return what has to be kept now, or None; a later batch waits for this one."""
-    seen = {one.id: one.seen_next for one in state.runners.values() if one.seen_next > one.seen}
+    """Return the pending writes, or None if there are none; a later batch waits for this one."""
+    seen = {
+        runner.id: runner.seen_next
+        for runner in state.runners.values()
+        if runner.seen_next > runner.seen
+    }
     unkept = state.unkept
-    if not (unkept.jobs or unkept.others or seen):
+    if not (unkept.jobs or unkept.other_records or seen):
         return None
     records = [
         KeyedRecord(progress_key(job_id), encode_progress(state.jobs[job_id].progress()))
         for job_id in unkept.jobs
     ]
     state.unkept = Unkept()
-    return Batch(records + unkept.others, unkept.starts, seen, unkept.preassigned)
+    return Batch(records + unkept.other_records, unkept.starts, seen, unkept.preassigned)
 
 
 def batch_kept(state: Scheduler, batch: Batch, now: float) -> None:
-    """Go on with what waited for a batch to be kept."""
+    """Apply what waited for a batch to be stored."""
     for bound in batch.preassigned:
-        _preassignment_kept(state, bound)
+        _confirm_preassignment(state, bound)
     for runner_id, seen in batch.seen.items():
         runner = state.runners.get(runner_id)
         if runner is not None:
@@ -41,18 +47,18 @@
     state.starts.waiting.extend(batch.starts)
 
 
-def _preassignment_kept(state: Scheduler, bound: BoundRun) -> None:
+def _confirm_preassignment(state: Scheduler, bound: BoundRun) -> None:
     job = state.jobs.get(bound.task.job)
     if job is None or not job.has(bound.task):
         return
     task = job.task(bound.task)
-    # A later one may already be on its way: only what still stands is kept.
+    # A later preassignment may be pending: confirm this one only if it is still current.
     if task.preassigned == bound.runner and task.run + 1 == bound.number:
         task.preassigned_kept = True
 
 
 def order_starts(state: Scheduler, now: float) -> None:
-    """Order the runs whose record is kept, as far as the leader's link takes them."""
+    """Order the waiting runs, whose records are stored, as far as the start window allows."""
     while state.starts.waiting and state.starts.takes(now):
         _start(state, state.starts.waiting.popleft(), now)
 
@@ -64,9 +70,9 @@
         return
     if run.stage is not RunStage.RECORDED:
         return
-    why = _why_not(runner, now)
+    why = _reason_not_to_start(runner, now)
     if why:
-        # It came to that while the start waited: nobody has ordered it, so it may go elsewhere.
+        # This arose while the start waited. It was not ordered, so the task may go elsewhere.
         state.release(bound.task, runner, why, now)
         return
     run.stage = RunStage.ORDERED
@@ -74,36 +80,36 @@
     state.order_start(bound.task, runner, run, now)
 
 
-def _why_not(runner: RunnerState, now: float) -> str:
-    """Return why nothing should start on a runner any more; empty where it may."""
+def _reason_not_to_start(runner: RunnerState, now: float) -> str:
+    """Return why no run should start on a runner any more; empty if one may."""
     if runner.emptied:
-        return "its zone is emptied"
+        return "its availability zone is being evacuated"
     if runner.leaves(now):
-        return "its runner leaves"
+        return "its runner is leaving"
     return "its runner is silent" if runner.silent_since is not None else ""
 
 
 def keep_learnt(state: Scheduler, now: float) -> None:
-    """Store what is learnt of pairs and times now and then, for the next leader."""
-    if now - state.learnt_at < KEEP_LEARNT_S:
+    """Store the learned interference and times for the next leader, if that is due."""
+    if now - state.learnt_at < LEARNED_STORE_INTERVAL_S:
         return
     state.learnt_at = now
     learnt = state.contention.learnt()
     times = state.times.learnt()
     if learnt or times:
         record = KeyedRecord(LEARNT_KEY, encode_learnt(Learnt(learnt, times)))
-        state.unkept.others.append(record)
+        state.unkept.other_records.append(record)
 
 
 def drop_ended(state: Scheduler, now: float) -> None:
-    """Drop the records of jobs that ended long ago and hold no run any more."""
-    kept: list[tuple[float, JobId]] = []
+    """Delete the records of jobs that ended long ago and have no bound run."""
+    retained: list[tuple[float, JobId]] = []
     for ended_at, job_id in state.ended:
         job = state.jobs[job_id]
         if now - ended_at < KEEP_ENDED_S or next(job.bound(), None) is not None:
-            kept.append((ended_at, job_id))
+            retained.append((ended_at, job_id))
             continue
         del state.jobs[job_id]
         keys = (job_key(job_id), cancel_key(job_id), progress_key(job_id))
-        state.unkept.others += [KeyedRecord(key, b"") for key in keys]
-    state.ended = kept
+        state.unkept.other_records += [KeyedRecord(key, b"") for key in keys]
+    state.ended = retained
--- a/spoolcrank/dispatcher.py
+++ b/spoolcrank/dispatcher.py
@@ -1,7 +1,7 @@
-"""Carry the leader's decisions out: read the log, write records, order runners.
+"""Carry out the leader's decisions: read the log, write records and send orders to runners.
 
-Every instance has one. It claims the leadership when the leader is silent, builds the
-scheduler's state from the records, and hands on what the decisions ask for.
+Every instance has one dispatcher. It claims leadership when the leader is silent, builds the
+scheduler's state from the records, and writes and sends what the decisions require.
 """
 
 import time
@@ -24,9 +24,15 @@
     job_of_key,
     kind_of,
 )
-from spoolcrank.lead_watch import Blocked, LeadWatch, watch_placing, watch_runners, why_blocked
-from spoolcrank.leader_writer import Kept, LeaderWriter, Writing
-from spoolcrank.leadership import NO_HEIR, SELF_FENCE_S, Leadership, decode_claim
+from spoolcrank.lead_watch import (
+    Blocked,
+    LeadWatch,
+    find_placing_block,
+    watch_placing,
+    watch_runners,
+)
+from spoolcrank.leader_writer import AppendTiming, LeaderWriter, PendingAppend
+from spoolcrank.leadership import NO_SUCCESSOR, SELF_FENCE_S, Leadership, decode_claim
 from spoolcrank.log_follower import LogFollower
 from spoolcrank.mechanisms import Mechanism
 from spoolcrank.note_lines import LINES_EVERY_S, NoteLines
@@ -45,21 +51,22 @@
 from spoolcrank.scheduler import RoutePolicy, Scheduler
 from spoolcrank.store_port import Append, LogPort
 from spoolcrank.takeover import (
+    log_unreadable_entry,
+    log_unreadable_record,
     read_job,
-    take_records,
-    tell_unreadable,
-    tell_unreadable_entry,
+    restore_state,
 )
 from spoolcrank.telemetry import Telemetry
 from spoolcrank.unkept import Batch
 from spoolcrank.workflow import RouteName, encode
 
 TICK_S = 0.1
-"""Between two polls at what time alone makes due, s; a tenth of the shortest such time."""
+"""Interval between checks for work that becomes due with time alone, in seconds. It is a tenth of
+the shortest period checked."""
 
 
 class Dispatcher:
-    """Reads, writes and orders for the scheduler of one instance."""
+    """Log access, writes and runner orders of one instance's scheduler."""
 
     def __init__(
         self,
@@ -81,7 +88,7 @@
         self._log = log
         self._follower = follower
         self._runner_follower = runner_follower
-        self._directory = RunnerDirectory(runner_of, partial(tell_unreadable_entry, telemetry))
+        self._directory = RunnerDirectory(runner_of, partial(log_unreadable_entry, telemetry))
         self._sender = OrderSender(runners, clock, self._on_answer, self._guard)
         self._timers = timers
         self._telemetry = telemetry
@@ -90,63 +97,61 @@
         self._clock = clock
         self._time_of_day = time_of_day
         self._writer: LeaderWriter | None = None
-        self._lines = NoteLines()
+        self._log_groups = NoteLines()
         self._regrouping = Regrouping()
         self._preassignments = Preassignments()
         self._claiming = Claiming(leadership, log, follower, telemetry, clock)
         self._leaving = False
-        gathering = Gathering(timers, clock, self._decide_now)
-        self._wake, self._work = gathering.wake, gathering.decide
-        self._heir = NO_HEIR
-        self._watch = LeadWatch(clock())
-        self._on_left: Callable[[], None] | None = None
-        self._emptied: frozenset[AvailabilityZone] = frozenset()
+        debouncer = Gathering(timers, clock, self._decide_now)
+        self._decide_soon, self._decide_at_once = debouncer.wake, debouncer.decide
+        self._successor = NO_SUCCESSOR
+        self._monitor = LeadWatch(clock())
+        self._on_resigned: Callable[[], None] | None = None
+        self._evacuated_zones: frozenset[AvailabilityZone] = frozenset()
         self._routes: Mapping[RouteName, RoutePolicy] = {}
         timers.every(TICK_S, self._tick)
-        timers.every(LINES_EVERY_S, lambda: self._lines.write(telemetry.log, clock()))
+        timers.every(LINES_EVERY_S, lambda: self._log_groups.write(telemetry.log, clock()))
 
     def set_routes(self, routes: Mapping[RouteName, RoutePolicy]) -> None:
-        """Take the queues of the configuration in force."""
+        """Apply the queues of the current configuration and read the list of runners again."""
         self._routes = routes
         if self.scheduler is not None:
             self.scheduler.routes = dict(routes)
-            self._relist()
+            self._reread_runners()
 
     def empty_zones(self, zones: frozenset[AvailabilityZone]) -> None:
-        """Take the zones in which the operator wants nothing more to start."""
-        if zones == self._emptied:
+        """Set the availability zones in which the operator wants no further starts."""
+        if zones == self._evacuated_zones:
             return
-        self._emptied = zones
+        self._evacuated_zones = zones
         self._telemetry.log("zones-emptied", grave=True, zones=sorted(zones))
         if self.scheduler is not None:
             self.scheduler.empty_zones(zones)
-            self._wake()
+            self._decide_soon()
 
     def leave(self, done: Callable[[], None]) -> None:
-        """Give the leadership up, if it is held, and tell when that is kept."""
+        """Resign for good; call `done` once that is stored, or at once if not leading."""
         self._leaving = True
         self._claiming.allowed = False
-        self._on_left = done
+        self._on_resigned = done
         if self.scheduler is None:
-            self._left()
+            self._report_resigned()
         else:
-            self._wake()
+            self._decide_soon()
 
-    def _left(self) -> None:
-        done, self._on_left = self._on_left, None
+    def _report_resigned(self) -> None:
+        done, self._on_resigned = self._on_resigned, None
         if done is not None:
             done()
 
-    # Records
-
     def on_news(self, records: list[KeyedRecord]) -> None:
-        """Take records of the scheduler's log."""
+        """Apply records read from the scheduler's log; log and skip unreadable ones."""
         now = self._clock()
         for record in records:
             try:
                 self._on_record(record, now)
             except Unreadable as exc:
-                tell_unreadable(self._telemetry, record, str(exc))
+                log_unreadable_record(self._telemetry, record, str(exc))
 
     def _on_record(self, record: KeyedRecord, now: float) -> None:
         kind = kind_of(record.key)
@@ -154,14 +159,14 @@
             self._on_claim(record, now)
         elif kind in LEADERS_OWN:
             if self.scheduler is None:
-                self.leadership.heard(now)
+                self.leadership.record_leader_write(now)
         elif kind is RecordKind.OFFER:
             self._on_offer(record, now)
         elif self.scheduler is not None and record.value:
             scheduler = self.scheduler
-            self._guard(scheduler, lambda: self._on_wish(scheduler, record, kind, now))
+            self._guard(scheduler, lambda: self._on_client_record(scheduler, record, kind, now))
 
-    def _on_wish(
+    def _on_client_record(
         self, scheduler: Scheduler, record: KeyedRecord, kind: RecordKind | None, now: float
     ) -> None:
         job = job_of_key(record.key)
@@ -169,13 +174,11 @@
             copy, time_of_day_ms = self._follower.copy, self._time_of_day() * 1000.0
             read_job(scheduler, copy, record, self._telemetry, now, time_of_day_ms)
             if job in scheduler.jobs and not scheduler.routed(scheduler.jobs[job].record.service):
-                self._relist()
+                self._reread_runners()
         elif kind is RecordKind.CANCEL:
             self._telemetry.log("cancel-read", job=job, offset=record.offset)
             scheduler.cancel(job, now)
-        self._wake()
-
-    # Leadership
+        self._decide_soon()
 
     def _on_claim(self, record: KeyedRecord, now: float) -> None:
         claim = decode_claim(record.value)
@@ -196,13 +199,13 @@
 
     def _on_offer(self, record: KeyedRecord, now: float) -> None:
         offer = self._claiming.read_offer(record, now)
-        # The first offer that is read names the heir; who offered later would claim beside it.
-        if offer is None or self.scheduler is None or self._heir:
+        # The first offer read names the successor; a second one would claim at the same time.
+        if offer is None or self.scheduler is None or self._successor:
             return
         to, processors = offer.instance, offer.processors
         self._telemetry.log("hands-over", grave=True, to=to, processors=processors)
-        self._heir = offer.incarnation
-        self._wake()
+        self._successor = offer.incarnation
+        self._decide_soon()
 
     def _take_over(self, term: int, now: float) -> None:
         self._follower.eager = True
@@ -210,21 +213,21 @@
             self._log, self._timers, self._clock, term, self._on_writer_lost
         )
         self._regrouping = Regrouping()
-        self._watch = LeadWatch(now)
-        self._heir = NO_HEIR
+        self._monitor = LeadWatch(now)
+        self._successor = NO_SUCCESSOR
         scheduler = Scheduler(term, now, self.leadership.predecessor_wrote_at, self._lease_ms)
         scheduler.routes = dict(self._routes)
         scheduler.without = self._without
-        scheduler.empty_zones(self._emptied)
+        scheduler.empty_zones(self._evacuated_zones)
         self.scheduler = scheduler
-        # The claim counts from when it was sent: successors reckon from when it was kept, and this
+        # Count the claim from when it was sent: successors count from when it was stored, and this
         # instance may read it back much later.
-        self._confirmed(scheduler, self.leadership.claimed_at)
+        self._record_confirmed_write(scheduler, self.leadership.claimed_at)
         self._runner_follower.begin()
         copy, time_of_day_ms = self._follower.copy, self._time_of_day() * 1000.0
-        take = partial(take_records, scheduler, copy, self._telemetry, now, time_of_day_ms)
-        self._guard(scheduler, take)
-        self._wake()
+        restore = partial(restore_state, scheduler, copy, self._telemetry, now, time_of_day_ms)
+        self._guard(scheduler, restore)
+        self._decide_soon()
 
     def _on_writer_lost(self, why: str) -> None:
         self._step_down(f"the store refused a write: {why}")
@@ -232,37 +235,35 @@
     def _step_down(self, why: str) -> None:
         if self.scheduler is None:
             return
-        self._tell(self.scheduler)
-        self._lines.write(self._telemetry.log, self._clock())
+        self._collect_log_events(self.scheduler)
+        self._log_groups.write(self._telemetry.log, self._clock())
         self._telemetry.log("stepped-down", grave=True, term=self.scheduler.term, why=why)
-        self.leadership.give_up(self.scheduler.term, self._heir)
+        self.leadership.resign(self.scheduler.term, self._successor)
         self.scheduler = None
         self._follower.eager = False
         self._runner_follower.pause()
         if self._writer is not None:
             self._writer.close()
-        self._left()
-
-    # The loop
+        self._report_resigned()
 
     def _tick(self) -> None:
         now = self._clock()
         if self._follower.contact:
-            self.leadership.in_contact(now)
+            self.leadership.record_log_answer(now)
         else:
-            self.leadership.lost_contact()
+            self.leadership.record_log_failure()
         scheduler = self.scheduler
         if scheduler is None:
-            # A claim may be read back while the copy is not whole yet.
+            # A claim may be read back before the copy is completely loaded.
             if self.leadership.leads and self._follower.copy.loaded:
                 self._take_over(self.leadership.claim.term, now)
             else:
-                self._claiming.work(now)
+                self._claiming.claim_or_offer(now)
             return
         if self.leadership.may_extend(now):
             due = partial(do_what_is_due, scheduler, self._preassignments, self._regrouping, now)
             self._guard(scheduler, due)
-        self._work()
+        self._decide_at_once()
 
     def _decide_now(self) -> None:
         scheduler = self.scheduler
@@ -270,33 +271,33 @@
             self._guard(scheduler, lambda: self._decide(scheduler))
 
     def _guard(self, scheduler: Scheduler, decide: Callable[[], None]) -> None:
-        """Run a decision; an error of ours ends the term."""
+        """Run a decision; an unexpected exception ends the term."""
         if self.scheduler is not scheduler:
             return
-        began = self._clock()
+        started_at = self._clock()
         try:
             decide()
         except Exception:
-            # The state in memory is in doubt; the next leader builds its own from the records.
+            # The state in memory may be wrong; the next leader builds its own from the records.
             self._telemetry.log("internal-error", grave=True, trace=traceback.format_exc())
-            self._step_down("an error of its own")
-        self._sender.busy_s += self._clock() - began
+            self._step_down("an internal error")
+        self._sender.busy_s += self._clock() - started_at
 
     def _decide(self, scheduler: Scheduler) -> None:
         now = self._clock()
         listing, writer = self._runner_follower.copy, self._writer
-        late = writer is not None and writer.busy and now - writer.busy_since > RECORDS_LATE_S
-        if late and listing.loaded and not self._leaving:
+        overdue = writer is not None and writer.busy and now - writer.busy_since > RECORDS_LATE_S
+        if overdue and listing.loaded and not self._leaving:
             self._preassignments.start(scheduler, now)
         list_age_s, log_age_s = now - listing.read_at, now - self._follower.copy.read_at
-        blocked = why_blocked(self._leaving, listing.loaded, list_age_s, log_age_s)
-        watch_placing(self._watch, scheduler, blocked, list_age_s, now)
-        watch_runners(self._watch, scheduler, now)
-        if blocked is not Blocked.NOT:
+        block = find_placing_block(self._leaving, listing.loaded, list_age_s, log_age_s)
+        watch_placing(self._monitor, scheduler, block, list_age_s, now)
+        watch_runners(self._monitor, scheduler, now)
+        if block is not Blocked.NONE:
             scheduler.placing = PlacingPass()
         elif not place(scheduler, now, self._time_of_day() * 1000.0):
             if not scheduler.starts.held_back:
-                self._wake()
+                self._decide_soon()
         self._write(scheduler, now)
         self._order(scheduler, now)
 
@@ -304,8 +305,9 @@
         writer = self._writer
         if writer is None or writer.busy or writer.closed:
             return
-        if self._leaving or self._heir:
-            # What is not kept yet was not ordered, and no runner forgets its end: nothing is lost.
+        if self._leaving or self._successor:
+            # Nothing is lost: starts whose records are pending were not ordered, and runners keep
+            # reporting ends that are not stored.
             self._write_claim(writer, resigned=True)
             return
         batch = take_batch(scheduler)
@@ -315,51 +317,49 @@
                 batch_kept(scheduler, batch, now)
                 return
             append = Append(batch.records)
-            then = partial(self._go_on, scheduler, batch)
-            writer.write(Writing(append, lambda kept: self._on_kept(kept, then)))
-        elif self.leadership.duty(now).heartbeat:
+            then = partial(self._on_batch_stored, scheduler, batch)
+            writer.write(PendingAppend(append, lambda timing: self._on_append_stored(timing, then)))
+        elif self.leadership.due_actions(now).heartbeat:
             self.leadership.wrote_at = now
             self._write_claim(writer, resigned=False)
 
     def _write_claim(
         self, writer: LeaderWriter, resigned: bool, then: Callable[[], None] | None = None
     ) -> None:
-        claim = self.leadership.own_claim(resigned, self._heir)
+        claim = self.leadership.own_claim(resigned, self._successor)
 
-        def on_kept(kept: Kept) -> None:
+        def on_stored(timing: AppendTiming) -> None:
             if resigned:
                 self._step_down("handed over")
             else:
-                self._on_kept(kept, then)
+                self._on_append_stored(timing, then)
 
-        writer.write(Writing(Append([KeyedRecord(LEADER_KEY, encode(claim))]), on_kept))
+        writer.write(PendingAppend(Append([KeyedRecord(LEADER_KEY, encode(claim))]), on_stored))
 
-    def _confirmed(self, scheduler: Scheduler, sent_at: float) -> None:
-        """Take note of a write that was kept: leases may be extended for a while from then."""
-        self.leadership.confirmed(sent_at)
+    def _record_confirmed_write(self, scheduler: Scheduler, sent_at: float) -> None:
+        """Record a stored write; leases may be extended until SELF_FENCE_S after `sent_at`."""
+        self.leadership.record_confirmed_write(sent_at)
         scheduler.extends_until = self.leadership.extends_until
 
-    def _on_kept(self, kept: Kept, then: Callable[[], None] | None) -> None:
-        """Go on with what waited for a write, once one was answered at its first sending."""
+    def _on_append_stored(self, timing: AppendTiming, then: Callable[[], None] | None) -> None:
+        """Continue with `then` once a write was answered on its first attempt."""
         scheduler, writer = self.scheduler, self._writer
         if scheduler is None or writer is None:
             return
-        if then is not None and self._clock() - kept.sent_at > SELF_FENCE_S / 2:
+        if then is not None and self._clock() - timing.sent_at > SELF_FENCE_S / 2:
             self._step_down("a write was confirmed too late")
-        elif kept.repeated:
-            # Others may have read the record at its first sending, and count our leases from
-            # then. A new one tells them that this instance still leads before any goes on.
+        elif timing.repeated:
+            # Others may have read the record after the first attempt and count our leases from
+            # then. Show by a new claim that this instance still leads before extending any lease.
             self._write_claim(writer, resigned=False, then=then)
         else:
-            self._confirmed(scheduler, kept.sent_at)
+            self._record_confirmed_write(scheduler, timing.sent_at)
             if then is not None:
                 then()
 
-    def _go_on(self, scheduler: Scheduler, batch: Batch) -> None:
+    def _on_batch_stored(self, scheduler: Scheduler, batch: Batch) -> None:
         self._guard(scheduler, lambda: batch_kept(scheduler, batch, self._clock()))
-        self._work()
-
-    # Orders
+        self._decide_at_once()
 
     def _order(self, scheduler: Scheduler, now: float) -> None:
         may_extend = self.leadership.may_extend(now)
@@ -368,32 +368,30 @@
         orders, scheduler.orders = scheduler.orders, []
         for order in orders:
             self._sender.send(scheduler, order)
-        self._tell(scheduler)
+        self._collect_log_events(scheduler)
 
     def _on_answer(self, scheduler: Scheduler, order: Order, result: OrderResult) -> None:
         if self.scheduler is not scheduler:
             return
         if result is OrderResult.OUTRANKED and not scheduler.outranked_by_itself(order.target):
             self._step_down("a runner has seen a higher fence")
-        elif isinstance(order, Poll) or result is not OrderResult.DONE or scheduler.starts.wanted:
-            self._wake()
+        elif isinstance(order, Poll) or result is not OrderResult.DONE or scheduler.starts.blocked:
+            self._decide_soon()
 
-    def _tell(self, scheduler: Scheduler) -> None:
+    def _collect_log_events(self, scheduler: Scheduler) -> None:
         notes, scheduler.notes = scheduler.notes, []
-        self._lines.add_all(notes, self._clock())
-
-    # Runners
+        self._log_groups.add_all(notes, self._clock())
 
     def on_runner_news(self, copy: KeyedLog) -> None:
-        """Take a change of the runners' entries."""
+        """Apply a change in the list of runners, if this instance leads."""
         scheduler = self.scheduler
         if scheduler is None or not copy.loaded:
             return
         listing = self._directory.read(copy)
         regained_at, now = self._runner_follower.regained_at, self._clock()
         self._guard(scheduler, lambda: list_runners(scheduler, listing, regained_at, now))
-        self._wake()
+        self._decide_soon()
 
-    def _relist(self) -> None:
-        """Take the list of runners again, as other services may be in use now."""
+    def _reread_runners(self) -> None:
+        """Apply the list of runners again, because other services may be in use now."""
         self.on_runner_news(self._runner_follower.copy)
--- a/spoolcrank/lead_watch.py
+++ b/spoolcrank/lead_watch.py
@@ -1,84 +1,92 @@
-"""Tell from the log lines whether a leader leads all of its runners, and why it places nothing."""
+"""Log when a leader has taken over all listed runners, and why it places nothing."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 from spoolcrank.scheduler import Scheduler
 
-BLOCKED_S = 0.5
-"""A leader that places nothing for so long says why, s; a list of runners is read within it."""
+BLOCK_LOG_DELAY_S = 0.5
+"""Time for which placing must be blocked before the reason is logged, in seconds. A list of runners
+is read within this time."""
 
-STALE_LIST_S = 1.2
-"""Nothing is placed by a list of runners read longer ago, s; with the time of an order it stays
-below the 2 s after which a leaving runner must get no start."""
+MAX_LIST_AGE_S = 1.2
+"""Maximum age of the list of runners at which tasks are placed, in seconds. Together with the time
+of an order it stays below the 2 s after which a leaving runner must get no start."""
 
-STALE_LOG_S = 1.5
-"""Nothing is placed by jobs and cancels read up to a time longer ago, s; with a record and an order
-it stays below the 3 s after which a cancelled job must get no start. Reads wait 0.7 s for news."""
+MAX_LOG_AGE_S = 1.5
+"""Maximum age of the copy of the log at which tasks are placed, in seconds. Together with the time
+of a record and an order it stays below the 3 s after which a cancelled job must get no start. A
+read of the log waits up to 0.7 s for new records."""
 
 
 class Blocked(Enum):
-    """Why a leader places nothing."""
+    """Reason why a leader places nothing."""
 
-    NOT = ""
+    NONE = ""
     LEAVING = "leaving"
-    NO_LIST = "the list of runners was not read yet"
+    LIST_NOT_READ = "the list of runners was not read yet"
     OLD_LIST = "the list of runners is old"
     OLD_LOG = "the log was read too long ago"
 
 
 @dataclass
 class LeadWatch:
-    """What was said so far of one term.
+    """What was observed and logged in one term.
 
     Attributes:
-        began_at: when the term began, monotonic seconds.
-        reached_all: every listed runner has answered this leader once.
-        blocked: why it places nothing now.
-        since: since when that is so.
-        told: whether a line said so.
+        term_began_at: when the term began, monotonic seconds.
+        all_runners_answered: every listed runner has answered this leader.
+        block: why nothing is placed now.
+        block_since: when that reason began to apply, monotonic seconds.
+        block_logged: whether it was logged.
     """
 
-    began_at: float
-    reached_all: bool = False
-    blocked: Blocked = Blocked.NOT
-    since: float = 0.0
-    told: bool = False
+    term_began_at: float
+    all_runners_answered: bool = False
+    block: Blocked = Blocked.NONE
+    block_since: float = 0.0
+    block_logged: bool = False
 
 
-def why_blocked(leaving: bool, loaded: bool, list_age_s: float, log_age_s: float) -> Blocked:
-    """Return why nothing may be placed now, by the ages of what was read."""
+def find_placing_block(leaving: bool, loaded: bool, list_age_s: float, log_age_s: float) -> Blocked:
+    """Return why nothing may be placed now, judged by the ages of what was read."""
     if leaving:
         return Blocked.LEAVING
     if not loaded:
-        return Blocked.NO_LIST
-    if list_age_s > STALE_LIST_S:
+        return Blocked.LIST_NOT_READ
+    if list_age_s > MAX_LIST_AGE_S:
         return Blocked.OLD_LIST
-    # A new leader may be far behind in the log: what it has yet to read may be cancelled.
-    return Blocked.OLD_LOG if log_age_s > STALE_LOG_S else Blocked.NOT
+    # A new leader may be far behind in the log and not have read cancellations yet.
+    return Blocked.OLD_LOG if log_age_s > MAX_LOG_AGE_S else Blocked.NONE
 
 
 def watch_placing(
-    watch: LeadWatch, state: Scheduler, blocked: Blocked, list_age_s: float, now: float
+    monitor: LeadWatch, state: Scheduler, block: Blocked, list_age_s: float, now: float
 ) -> None:
-    """Take note of why nothing is placed; says so once it lasts, and once it is over."""
-    if blocked is not watch.blocked:
-        if watch.told:
-            state.note("places-again", why=watch.blocked.value, after_s=round(now - watch.since, 2))
-        watch.blocked, watch.since, watch.told = blocked, now, False
-    if blocked is not Blocked.NOT and not watch.told and now - watch.since >= BLOCKED_S:
-        watch.told = True
-        state.note("places-nothing", why=blocked.value, list_age_s=round(list_age_s, 2))
-
-
-def watch_runners(watch: LeadWatch, state: Scheduler, now: float) -> None:
-    """Say once when every listed runner has answered this leader."""
-    if watch.reached_all:
+    """Record why nothing is placed; log it after BLOCK_LOG_DELAY_S, and log its end."""
+    if block is not monitor.block:
+        if monitor.block_logged:
+            state.note(
+                "places-again", why=monitor.block.value, after_s=round(now - monitor.block_since, 2)
+            )
+        monitor.block, monitor.block_since, monitor.block_logged = block, now, False
+    if (
+        block is not Blocked.NONE
+        and not monitor.block_logged
+        and now - monitor.block_since >= BLOCK_LOG_DELAY_S
+    ):
+        monitor.block_logged = True
+        state.note("places-nothing", why=block.value, list_age_s=round(list_age_s, 2))
+
+
+def watch_runners(monitor: LeadWatch, state: Scheduler, now: float) -> None:
+    """Log once when every listed runner has answered this leader."""
+    if monitor.all_runners_answered:
         return
-    listed = [one for one in state.runners.values() if one.listed and not one.gone]
-    if not listed or not all(one.adopted for one in listed):
+    listed = [runner for runner in state.runners.values() if runner.listed and not runner.gone]
+    if not listed or not all(runner.adopted for runner in listed):
         return
-    watch.reached_all = True
-    runs = sum(len(one.runs) for one in listed)
-    after_s = round(now - watch.began_at, 2)
+    monitor.all_runners_answered = True
+    runs = sum(len(runner.runs) for runner in listed)
+    after_s = round(now - monitor.term_began_at, 2)
     state.note("runners-taken-over", after_s=after_s, runners=len(listed), runs=runs)
--- a/spoolcrank/leader_writer.py
+++ b/spoolcrank/leader_writer.py
@@ -1,7 +1,7 @@
-"""Write the leader's records in order: one append at a time, repeated until it is known.
+"""Write the leader's records in order: one append at a time, repeated until its result is known.
 
-Repeating is safe, as the store gives a repeated sequence its first answer again, and nothing
-of an earlier term is taken any more.
+Repeating is safe: the store gives a repeated sequence number its first answer again, and it accepts
+no append of an earlier term.
 """
 
 from collections.abc import Callable
@@ -11,16 +11,16 @@
 from spoolcrank.store_port import Append, Appended, AppendOutcome, LogPort, WriterFence
 
 RETRY_S = 0.08
-"""Before an append is sent again, s."""
+"""Delay before an append is sent again, in seconds."""
 
 
-class Kept(NamedTuple):
-    """What is known of when an append that is kept was taken, monotonic seconds.
+class AppendTiming(NamedTuple):
+    """Times between which the store accepted an append, monotonic seconds.
 
     Attributes:
-        first_at: when it was first sent without being surely refused; it may have been taken, and
-            read by others, since then.
-        sent_at: when that was sent which was answered; the store took appends of this term then.
+        first_at: when the first attempt was sent that may have been stored; other instances may
+            have read the records since then.
+        sent_at: when the answered attempt was sent; the store accepted this term's appends then.
     """
 
     first_at: float
@@ -28,19 +28,22 @@
 
     @property
     def repeated(self) -> bool:
-        """Tell whether an earlier sending had no answer and may be what the store took."""
+        """Return whether the store may have accepted an earlier attempt that was not answered."""
         return self.first_at < self.sent_at
 
 
-class Writing(NamedTuple):
-    """One append of the leader, and what is told once it is kept."""
+class PendingAppend(NamedTuple):
+    """One append of the leader, and the callback for when it is stored."""
 
     append: Append
-    kept: Callable[[Kept], None]
+    on_stored: Callable[[AppendTiming], None]
 
 
 class LeaderWriter:
-    """The appends of one term."""
+    """The writer of one term's appends.
+
+    `on_lost` is called with the reason if the store refuses the term or sequence.
+    """
 
     def __init__(
         self,
@@ -59,48 +62,48 @@
         self.busy = False
         self.busy_since = 0.0
         self.closed = False
-        self.stuck_since: float | None = None
+        self.unanswered_since: float | None = None
 
-    def write(self, writing: Writing) -> None:
-        """Append; only while not `busy`."""
+    def write(self, pending: PendingAppend) -> None:
+        """Send an append and repeat it as needed; only while not `busy`."""
         self.busy = True
         self.busy_since = self._clock()
         self._sequence += 1
         fence = WriterFence(self._term, self._sequence)
-        self._send(writing._replace(append=writing.append._replace(fence=fence)))
+        self._send(pending._replace(append=pending.append._replace(fence=fence)))
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Send nothing more, and ignore later answers."""
         self.closed = True
 
-    def _send(self, writing: Writing, unsure_since: float | None = None) -> None:
+    def _send(self, pending: PendingAppend, possibly_stored_since: float | None = None) -> None:
         if self.closed:
             return
         sent_at = self._clock()
-        first_at = sent_at if unsure_since is None else unsure_since
+        first_at = sent_at if possibly_stored_since is None else possibly_stored_since
 
-        def appended(got: Appended) -> None:
+        def on_answer(result: Appended) -> None:
             if not self.closed:
-                self._on_appended(writing, Kept(first_at, sent_at), got)
+                self._on_appended(pending, AppendTiming(first_at, sent_at), result)
 
-        self._log.append(writing.append, appended)
+        self._log.append(pending.append, on_answer)
 
-    def _on_appended(self, writing: Writing, sent: Kept, got: Appended) -> None:
-        if got.outcome is AppendOutcome.KEPT:
+    def _on_appended(self, pending: PendingAppend, timing: AppendTiming, result: Appended) -> None:
+        if result.outcome is AppendOutcome.KEPT:
             self.busy = False
-            self.stuck_since = None
-            writing.kept(sent)
-        elif got.outcome in (AppendOutcome.NOT_KEPT, AppendOutcome.UNKNOWN):
-            if self.stuck_since is None:
-                self.stuck_since = sent.first_at
-            # What was surely not taken leaves no doubt of when the next sending is.
-            unsure = got.outcome is AppendOutcome.UNKNOWN or sent.repeated
-            unsure_since = sent.first_at if unsure else None
-            self._timers.after(RETRY_S, lambda: self._send(writing, unsure_since))
+            self.unanswered_since = None
+            pending.on_stored(timing)
+        elif result.outcome in (AppendOutcome.NOT_KEPT, AppendOutcome.UNKNOWN):
+            if self.unanswered_since is None:
+                self.unanswered_since = timing.first_at
+            # An attempt that was certainly not stored does not affect the timing of the next one.
+            may_be_stored = result.outcome is AppendOutcome.UNKNOWN or timing.repeated
+            possibly_stored_since = timing.first_at if may_be_stored else None
+            self._timers.after(RETRY_S, lambda: self._send(pending, possibly_stored_since))
         else:
             self.closed = True
-            self._on_lost(got.outcome.value)
+            self._on_lost(result.outcome.value)
 
 
 FIRST_SEQUENCE = 1
-"""The sequence of the claim itself; the leader's records follow."""
+"""Sequence number of the claim itself; the leader's records follow."""
--- a/spoolcrank/note_lines.py
+++ b/spoolcrank/note_lines.py
@@ -1,9 +1,9 @@
-"""Gather what one short time decides for the tasks of a step into one line of the log.
+"""Group the log events of a step's tasks within a short time into one log line.
 
-Pattern: wide steps. A step of forty tasks is bound, ends and is paced within some passes, and a
-line for each task exceeds the bound on lines: at some 600 starts and ends a second the log held
-one decision in six. One line of a step names each task with its own inputs, so that every decision
-has its line within the bound.
+A wide step of forty tasks is bound, ends and is paced within a few passes, and one line for each
+task exceeds the limit on log lines: at some 600 starts and ends a second the log contained one
+decision in six. One line for a step lists each task with its own values, so that every decision is
+logged within the limit.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,114 +13,116 @@
 from spoolcrank.workflow import TaskKey
 
 LINES_EVERY_S = 0.5
-"""Decisions of so long share a line, s; how old each is stands in it. With 0.1 s the ends of one
-step still came one by one: a leader of 270 runners left out 26,571 lines of a day."""
+"""Time over which log events are grouped into a line, in seconds; the line contains the age of
+each. With 0.1 s the ends of one step still got a line each: a leader of 270 runners dropped 26,571
+lines in a day."""
 
-MOST_TASKS = 32
-"""Of one line. A line then stays below 4,096 bytes, which a pipe takes whole or not at all."""
+MAX_TASKS_PER_LINE = 32
+"""Maximum number of tasks in one line. It keeps a line below 4,096 bytes, which a pipe writes
+atomically."""
 
 _Write = Callable[..., None]
 _PLURALS = {"task": "tasks", "run": "runs", "runner": "runners"}
 _Group = tuple[Any, ...]
 
 
-class _Told(NamedTuple):
-    """A decision, and when it was made."""
+class _TimedEvent(NamedTuple):
+    """A log event, and when it occurred, monotonic seconds."""
 
-    note: Note
+    event: Note
     at: float
 
 
 class NoteLines:
-    """Decisions on their way to the log, in order for each task."""
+    """Log events that wait to be written, in order for each task."""
 
     def __init__(self) -> None:
-        self._groups: dict[_Group, list[_Told]] = {}
-        self._closed: list[list[_Told]] = []
+        self._groups: dict[_Group, list[_TimedEvent]] = {}
+        self._closed_groups: list[list[_TimedEvent]] = []
         self._group_of: dict[TaskKey, _Group] = {}
 
-    def add_all(self, notes: Iterable[Note], now: float) -> None:
-        """Take some decisions, in their order."""
-        for note in notes:
-            self.add(note, now)
+    def add_all(self, events: Iterable[Note], now: float) -> None:
+        """Add log events in their order."""
+        for event in events:
+            self.add(event, now)
 
-    def add(self, note: Note, now: float) -> None:
-        """Take one decision."""
-        task = note.fields.get("task")
+    def add(self, event: Note, now: float) -> None:
+        """Add one log event; one without a task gets a line of its own."""
+        task = event.fields.get("task")
         if not isinstance(task, TaskKey):
-            self._closed.append([_Told(note, now)])
+            self._closed_groups.append([_TimedEvent(event, now)])
             return
-        group = _group(note, task)
-        # What is told of one task stays in its order: no earlier line may take a later decision.
-        if self._group_of.get(task, group) != group or self._is_told(task, group):
+        group = _group(event, task)
+        # Keep the events of one task in order: a later event must not join an earlier line.
+        if self._group_of.get(task, group) != group or self._has_event(task, group):
             self._close()
-        held = self._groups.setdefault(group, [])
-        held.append(_Told(note, now))
+        group_events = self._groups.setdefault(group, [])
+        group_events.append(_TimedEvent(event, now))
         self._group_of[task] = group
-        if len(held) >= MOST_TASKS:
+        if len(group_events) >= MAX_TASKS_PER_LINE:
             self._close()
 
-    def _is_told(self, task: TaskKey, group: _Group) -> bool:
-        return any(one.note.fields["task"] == task for one in self._groups.get(group, ()))
+    def _has_event(self, task: TaskKey, group: _Group) -> bool:
+        return any(timed.event.fields["task"] == task for timed in self._groups.get(group, ()))
 
     def _close(self) -> None:
-        self._closed += self._groups.values()
+        self._closed_groups += self._groups.values()
         self._groups = {}
         self._group_of = {}
 
     def write(self, log: _Write, now: float) -> None:
-        """Write the lines of all decisions taken so far."""
+        """Write the lines of all events added so far, and remove the events."""
         for line in self.take(now):
             log(line.name, grave=line.name in GRAVE, **line.fields)
 
     def take(self, now: float) -> list[Note]:
-        """Return the lines of all decisions taken so far, the earliest first."""
+        """Remove all events added so far and return their lines, the earliest first."""
         self._close()
-        closed, self._closed = self._closed, []
-        return [_line(told, now) for told in closed]
+        closed_groups, self._closed_groups = self._closed_groups, []
+        return [_line(timed_events, now) for timed_events in closed_groups]
 
 
-def _group(note: Note, task: TaskKey) -> _Group:
-    """Return what decisions have to share to stand in one line: the step, and every word."""
+def _group(event: Note, task: TaskKey) -> _Group:
+    """Return what events must share to be in one line: the name, step and all text and flags."""
     words = tuple(
         (name, value)
-        for name, value in note.fields.items()
+        for name, value in event.fields.items()
         if name not in _PLURALS and isinstance(value, str | bool)
     )
-    return (note.name, task.job, task.round, task.step, words)
+    return (event.name, task.job, task.round, task.step, words)
 
 
-def _line(told: list[_Told], now: float) -> Note:
-    ages_ms = [round((now - one.at) * 1000.0) for one in told]
-    notes = [one.note for one in told]
-    first = notes[0]
-    if len(notes) == 1:
+def _line(timed_events: list[_TimedEvent], now: float) -> Note:
+    ages_ms = [round((now - timed.at) * 1000.0) for timed in timed_events]
+    events = [timed.event for timed in timed_events]
+    first = events[0]
+    if len(events) == 1:
         return Note(first.name, {**first.fields, "ago_ms": ages_ms[0]})
     task: TaskKey = first.fields["task"]
     fields: dict[str, Any] = {"step": [task.job, task.round, task.step]}
     for name, value in first.fields.items():
         if name == "task":
-            fields["tasks"] = [note.fields["task"].number for note in notes]
+            fields["tasks"] = [event.fields["task"].number for event in events]
         elif name in _PLURALS or not isinstance(value, str | bool):
-            fields[_PLURALS.get(name, name)] = [note.fields[name] for note in notes]
+            fields[_PLURALS.get(name, name)] = [event.fields[name] for event in events]
         else:
             fields[name] = value
     return Note(first.name, {**fields, "ago_ms": ages_ms})
 
 
 def singles(fields: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return the fields of each decision in a line, as if every task had a line of its own."""
+    """Return the fields of each event in a line, as if every task had a line of its own."""
     if "step" not in fields or "tasks" not in fields:
         return [fields]
-    places = range(len(fields["tasks"]))
-    return [_single(fields, place) for place in places]
+    indices = range(len(fields["tasks"]))
+    return [_single(fields, index) for index in indices]
 
 
-def _single(fields: dict[str, Any], place: int) -> dict[str, Any]:
-    single: dict[str, Any] = {"task": [*fields["step"], fields["tasks"][place]]}
+def _single(fields: dict[str, Any], index: int) -> dict[str, Any]:
+    split: dict[str, Any] = {"task": [*fields["step"], fields["tasks"][index]]}
     names = {plural: name for name, plural in _PLURALS.items()}
     for name, value in fields.items():
         if name in ("step", "tasks"):
             continue
-        single[names.get(name, name)] = value[place] if isinstance(value, list) else value
-    return single
+        split[names.get(name, name)] = value[index] if isinstance(value, list) else value
+    return split
--- a/spoolcrank/notes.py
+++ b/spoolcrank/notes.py
@@ -1,4 +1,4 @@
-"""Name the scheduler's decisions for the log, and those that are left out of it last."""
+"""Define the log events of the scheduler's decisions, and which of them are important."""
 
 from typing import Any, NamedTuple
 
@@ -23,11 +23,11 @@
         "rows-unreadable",
     }
 )
-"""Notes that are left out last."""
+"""Names of log events that are dropped last when too many lines are logged."""
 
 
 class Note(NamedTuple):
-    """One decision to be logged, with what decided it."""
+    """One decision to be logged, with the values that led to it."""
 
     name: str
     fields: dict[str, Any]
--- a/spoolcrank/order_answers.py
+++ b/spoolcrank/order_answers.py
@@ -1,7 +1,7 @@
-"""Take what runners answered to starts, stops and paces.
+"""Apply the runners' answers to starts, stops and paces.
 
-A call without an answer may have been carried out, and may still be, seconds later: such a run
-stays where it is until a report of its runner says more.
+An order without an answer may have been carried out, or may still be carried out seconds later.
+Such a run stays assigned to its runner until a report of the runner settles it.
 """
 
 from spoolcrank.odd_ends import blames_runner
@@ -14,14 +14,14 @@
 from spoolcrank.workflow import FINAL
 
 REFUSALS = frozenset(OrderResult) - {OrderResult.NOT_DONE, OrderResult.OUTRANKED}
-"""Answers to a start by which a runner that is well reached says no."""
+"""Results of a start that count as refused by a reachable runner."""
 
 
 # Starts
 
 
 def start_answered(state: Scheduler, start: Start, answered: Answered, now: float) -> None:
-    """Go on with a run whose start was answered, refused, or not answered."""
+    """Update a run whose start was carried out, refused or not answered."""
     runner = state.runners.get(start.target.runner)
     run = runner.runs.get(start.task) if runner is not None else None
     if runner is None or run is None or run.number != start.run:
@@ -42,19 +42,21 @@
     elif run.stage is RunStage.STOPPING:
         return
     elif result is OrderResult.DONE:
-        _start_taken(state, start, runner, run, now)
+        _start_accepted(state, start, runner, run, now)
     elif result is OrderResult.UNKNOWN:
         run.stage = RunStage.UNSURE
         run.since = now
         runner.missed(now)
     elif run.tries > 1 or result is OrderResult.SUPERSEDED:
-        # It, or a later one, may have ended there: only the runner's list of ends can say how.
+        # This run or a later one may have ended there; only the runner's list of ends shows how.
         state.stop_run(start.task, runner.id, now)
     else:
-        _never_started(state, start, runner, result, now)
+        _start_failed(state, start, runner, result, now)
 
 
-def _start_taken(state: Scheduler, start: Start, runner: RunnerState, run: Run, now: float) -> None:
+def _start_accepted(
+    state: Scheduler, start: Start, runner: RunnerState, run: Run, now: float
+) -> None:
     run.stage = RunStage.RUNNING
     run.since = now
     run.moved_at = now
@@ -63,7 +65,7 @@
         state.stop_run(start.task, runner.id, now)
 
 
-def _never_started(
+def _start_failed(
     state: Scheduler, start: Start, runner: RunnerState, result: OrderResult, now: float
 ) -> None:
     if result in (OrderResult.NOT_DONE, OrderResult.OUTRANKED):
@@ -81,7 +83,7 @@
 
 
 def stop_answered(state: Scheduler, stop: Stop, answered: Answered, now: float) -> None:
-    """Go on with a run that was told to stop."""
+    """Update a run whose stop was answered or not answered."""
     runner = state.runners.get(stop.target.runner)
     run = runner.runs.get(stop.task) if runner is not None else None
     if runner is None:
@@ -109,7 +111,7 @@
 
 
 def pace_answered(state: Scheduler, pace: Pace, answered: Answered, now: float) -> None:
-    """Take note of a pace that was not taken, so that it is set again."""
+    """Mark the pace of a run as unknown if it was not applied, so that it is set again."""
     runner = state.runners.get(pace.target.runner)
     run = runner.runs.get(pace.task) if runner is not None else None
     if runner is None or run is None or run.number != pace.run:
--- a/spoolcrank/order_sender.py
+++ b/spoolcrank/order_sender.py
@@ -1,4 +1,4 @@
-"""Send the leader's orders to runners and hand the answers to its decisions."""
+"""Send the leader's orders to runners and apply their answers to the scheduler's state."""
 
 from collections.abc import Callable
 
@@ -13,16 +13,17 @@
 
 
 class OrderSender:
-    """The orders on their way.
+    """The leader's sender of orders.
 
     Args:
-        runners: where orders go.
+        runners: the port to the runners.
         clock: monotonic seconds.
-        on_answer: told of each answer after the decisions have taken it.
-        guard: runs a decision; what it raises ends this leader's term.
+        on_answer: called after each answer was applied to the state.
+        guard: runs a decision; an exception that it raises ends this leader's term.
 
     Attributes:
-        busy_s: time spent on decisions so far. An answer that waited for one was not late.
+        busy_s: total time spent on decisions, in seconds. It is subtracted from the time that an
+            answer took, as an answer that waited for a decision was not late.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self.busy_s = 0.0
 
     def send(self, scheduler: Scheduler, order: Order) -> None:
-        """Send one order."""
+        """Send one order; its answer is applied when it arrives."""
         if isinstance(order, Poll):
             self._poll(scheduler, order)
         elif isinstance(order, Start):
@@ -52,68 +53,68 @@
     def _poll(self, scheduler: Scheduler, order: Poll) -> None:
         asked_at = self._clock()
 
-        def polled(got: Polled) -> None:
-            def take() -> None:
+        def polled(answer: Polled) -> None:
+            def apply() -> None:
                 now = self._clock()
-                if got.report is not None:
-                    poll_answered(scheduler, order, got.report, asked_at, now)
+                if answer.report is not None:
+                    poll_answered(scheduler, order, answer.report, asked_at, now)
                 else:
-                    poll_failed(scheduler, order, got.result, now)
+                    poll_failed(scheduler, order, answer.result, now)
 
-            self._take(scheduler, order, got.result, take)
+            self._apply(scheduler, order, answer.result, apply)
 
         self._runners.poll(order, polled)
 
     def _start(self, scheduler: Scheduler, order: Start) -> None:
         sent_at, busy_s = self._clock(), self.busy_s
 
-        def started(got: Answered) -> None:
-            def take() -> None:
+        def started(answer: Answered) -> None:
+            def apply() -> None:
                 now = self._clock()
                 took_s = now - sent_at - (self.busy_s - busy_s)
-                _watch_link(scheduler, order, got.result, took_s, now)
-                start_answered(scheduler, order, got, now)
+                _update_window(scheduler, order, answer.result, took_s, now)
+                start_answered(scheduler, order, answer, now)
 
-            self._take(scheduler, order, got.result, take)
+            self._apply(scheduler, order, answer.result, apply)
 
         self._runners.start(order, started)
 
     def _stop(self, scheduler: Scheduler, order: Stop) -> None:
-        def stopped(got: Answered) -> None:
-            def take() -> None:
-                stop_answered(scheduler, order, got, self._clock())
+        def stopped(answer: Answered) -> None:
+            def apply() -> None:
+                stop_answered(scheduler, order, answer, self._clock())
 
-            self._take(scheduler, order, got.result, take)
+            self._apply(scheduler, order, answer.result, apply)
 
         self._runners.stop(order, stopped)
 
     def _pace(self, scheduler: Scheduler, order: Pace) -> None:
-        def paced(got: Answered) -> None:
-            def take() -> None:
-                pace_answered(scheduler, order, got, self._clock())
+        def paced(answer: Answered) -> None:
+            def apply() -> None:
+                pace_answered(scheduler, order, answer, self._clock())
 
-            self._take(scheduler, order, got.result, take)
+            self._apply(scheduler, order, answer.result, apply)
 
         self._runners.pace(order, paced)
 
-    def _take(
-        self, scheduler: Scheduler, order: Order, result: OrderResult, take: Callable[[], None]
+    def _apply(
+        self, scheduler: Scheduler, order: Order, result: OrderResult, apply: Callable[[], None]
     ) -> None:
-        self._guard(scheduler, take)
+        self._guard(scheduler, apply)
         self._on_answer(scheduler, order, result)
 
 
-def _watch_link(
+def _update_window(
     scheduler: Scheduler, order: Start, result: OrderResult, took_s: float, now: float
 ) -> None:
-    """Take the time of a start's answer into the window, and tell where it shrinks."""
+    """Update the start window by the time of a start's answer, and log if the window shrinks."""
     starts = scheduler.starts
-    before = starts.limit
+    limit_before = starts.limit
     if result in (OrderResult.UNKNOWN, OrderResult.NOT_DONE):
         starts.unanswered(order.task, order.run, now)
     else:
         starts.answered(order.task, order.run, took_s, now)
-    if starts.limit < before:
+    if starts.limit < limit_before:
         scheduler.note(
             "starts-held-back",
             runner=order.target.runner,
--- a/spoolcrank/orders.py
+++ b/spoolcrank/orders.py
@@ -1,4 +1,4 @@
-"""Name the orders that go to runners, and what can come of them."""
+"""Define the orders that are sent to runners, and their possible results."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Target(NamedTuple):
-    """The incarnation of a runner that an order is meant for, and the leader's fence."""
+    """The runner incarnation that an order is meant for, and the leader's fence."""
 
     runner: RunnerId
     address: Address
@@ -16,7 +16,7 @@
 
 
 class Start(NamedTuple):
-    """Start one run; void on the runner after `until_ms` of its clock."""
+    """An order to start a run; the runner refuses it after `until_ms` of its own clock."""
 
     target: Target
     task: TaskKey
@@ -27,7 +27,7 @@
 
 
 class Stop(NamedTuple):
-    """Stop one run, or keep it from ever starting."""
+    """An order to stop a run, or to prevent it from ever starting."""
 
     target: Target
     task: TaskKey
@@ -35,7 +35,7 @@
 
 
 class Pace(NamedTuple):
-    """Let one run work at a share of its speed, percent."""
+    """An order to let a run work at `percent` of its full speed."""
 
     target: Target
     task: TaskKey
@@ -44,11 +44,11 @@
 
 
 class Poll(NamedTuple):
-    """Ask what runs and what has ended; extends the lease to `until_ms` if it is given.
+    """A request for what runs and what has ended; extends the lease to `until_ms` if given.
 
     Attributes:
-        seen: ends up to this number may be forgotten.
-        wait_ms: the answer may wait so long for an end.
+        seen: the runner may forget ends up to this number.
+        wait_ms: maximum time for which the answer may wait for an end.
     """
 
     target: Target
@@ -61,10 +61,10 @@
 
 
 class OrderResult(Enum):
-    """What came of an order.
+    """The result of an order.
 
-    DONE: carried out. NOT_DONE: surely not carried out. UNKNOWN: no answer; it may be carried
-    out any time until its lease time. The rest are the runner's own refusals.
+    DONE: carried out. NOT_DONE: certainly not carried out. UNKNOWN: no answer; the runner may carry
+    it out at any time until its lease time. The others are refusals by the runner.
     """
 
     DONE = "done"
@@ -81,14 +81,14 @@
 
 
 class Answered(NamedTuple):
-    """The result of one order, with the runner's clock where it told it."""
+    """The result of one order, and the runner's clock if the answer contains it."""
 
     result: OrderResult
     clock_ms: float | None = None
 
 
 class EndKind(Enum):
-    """How a run ended, as its runner says."""
+    """How a run ended, as reported by its runner."""
 
     DONE = "done"
     FAILED = "failed"
@@ -99,10 +99,10 @@
 
 
 class RunningRow(NamedTuple):
-    """One run that is on a runner.
+    """One run that is present on a runner.
 
-    `percent` is its pace or progress, `figure` a tail latency in ms for a task that serves
-    and millicores in use for any other.
+    `percent` is its pace or progress. `measurement` is the tail latency in ms for a serving task,
+    and the millicores in use for any other task.
     """
 
     task: TaskKey
@@ -113,7 +113,7 @@
 
 
 class EndedRow(NamedTuple):
-    """One run that has ended on a runner; numbers rise within an incarnation."""
+    """One run that has ended on a runner; `number` increases within an incarnation."""
 
     number: int
     task: TaskKey
@@ -123,16 +123,17 @@
 
 
 class Report(NamedTuple):
-    """What a runner answered to a poll.
+    """A runner's answer to a poll.
 
     Attributes:
-        runner: the incarnation that answered; another than was asked, where that one is over.
-        clock_ms: its clock then.
-        running: what runs there.
-        ended: what has ended there and may not be forgotten yet, by rising numbers.
-        whole: every such end is among `ended`; others follow once these may be forgotten.
-        unread: rows of both lists that could not be read and are left out.
-        unread_ends: numbers of those of them that are ends.
+        runner: the incarnation that answered; it differs from the polled one if that has ended.
+        clock_ms: its clock at the time of the answer.
+        running: the runs that are present there.
+        ended: the runs that ended there and may not be forgotten yet, by increasing number.
+        whole: whether `ended` contains every such end; if not, the next follow once these may be
+            forgotten.
+        unreadable: number of rows of both lists that could not be read and are left out.
+        unreadable_ends: the `number` of each unreadable row of `ended`.
     """
 
     runner: RunnerId
--- a/spoolcrank/polling.py
+++ b/spoolcrank/polling.py
@@ -1,4 +1,4 @@
-"""Say which runners to ask now what runs there and what has ended."""
+"""Select the runners to poll now for what runs there and what has ended."""
 
 from collections import Counter
 
@@ -7,47 +7,57 @@
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
 
-POLL_WAIT_MS = 1000
-"""A poll at a busy runner waits so long for an end, ms; a fifth of the lease."""
+MAX_POLL_WAIT_MS = 1000
+"""Maximum time for which a runner holds a poll until a run ends, in milliseconds; a fifth of the
+lease."""
 
-IDLE_POLL_S = 1.5
-"""Between polls at a runner without runs, s; below the time after which it counts as stale."""
+IDLE_POLL_INTERVAL_S = 1.5
+"""Interval between polls at a runner without runs, in seconds. It is below the time after which the
+runner's report counts as stale."""
 
-MOST_ADOPTING = 32
-"""Runners whose first answer to a new leader may be under way at once; more to one of half a core
-would hold up its own sign of life. As many again among those that were silent."""
+MAX_CONCURRENT_FIRST_POLLS = 32
+"""Maximum number of runners whose first answer to a new leader may be in flight at once. More would
+delay the heartbeat of a leader with half a core. The limit applies separately to silent runners."""
 
-ANSWERS_WITHIN_S = 0.15
-"""A first poll unanswered for so long gives its place up, s; several answers of another region. Who
-is cut off answers nothing, and would hold its place until the poll fails."""
+FIRST_POLL_SLOT_S = 0.15
+"""Time after which an unanswered first poll no longer counts towards MAX_CONCURRENT_FIRST_POLLS, in
+seconds; several round trips to another region. A partitioned runner answers nothing and would
+otherwise count until the poll fails."""
 
-FENCE_AGAIN_S = 0.1
-"""Between the first polls at a runner that started again, s; many usual answers."""
+FENCE_POLL_INTERVAL_S = 0.1
+"""Interval between the first polls at a restarted runner, in seconds; many usual round trips."""
 
-FENCE_SOON_S = 2.0
-"""For how long it is asked so often, s; it may be down again, or its entry may be early."""
+FENCE_POLL_PERIOD_S = 2.0
+"""Time for which a restarted runner is polled at that interval, in seconds. After that it may be
+down again, or its entry may have been written before it was up."""
 
-SILENT_POLL_S = 0.4
-"""Between polls at a runner that does not answer, s."""
+SILENT_POLL_INTERVAL_S = 0.4
+"""Interval between polls at a runner that does not answer, in seconds."""
 
-UNHEARD_S = 10.0
-"""A runner that holds nothing and never answered this leader is asked seldom after so long, s:
-more than a zone is cut off for, and than a run of an earlier leader may live unseen (9.5 s)."""
+NEVER_ANSWERED_AFTER_S = 10.0
+"""Time of silence after which a runner that has no runs and never answered this leader is polled
+rarely, in seconds. It is longer than a zone stays partitioned, and than a run of an earlier leader
+may live without being seen (9.5 s)."""
 
-UNHEARD_POLL_S = 2.0
-"""Between polls at it, s; each is paid for, and opens a channel."""
+NEVER_ANSWERED_POLL_INTERVAL_S = 2.0
+"""Interval between polls at a runner that never answered, in seconds. Each poll costs a request and
+opens a channel."""
 
 
 def polls_due(state: Scheduler, now: float, may_extend: bool) -> list[Poll]:
-    """Return the polls to send now, one at a time for each runner."""
-    due = [one for one in state.runners.values() if _may_be_asked(one, now)]
-    known = [one for one in due if one.adopted]
-    unknown = [one for one in due if not one.adopted]
-    asked = known + _in_turn(state, unknown, now) if unknown else known
-    return [_poll(state, runner, now, may_extend) for runner in asked]
+    """Return the polls to send now, at most one for each runner."""
+    pollable = [candidate for candidate in state.runners.values() if _may_be_polled(candidate, now)]
+    already_adopted = [candidate for candidate in pollable if candidate.adopted]
+    awaiting_first_answer = [candidate for candidate in pollable if not candidate.adopted]
+    selected = (
+        already_adopted + _select_first_polls(state, awaiting_first_answer, now)
+        if awaiting_first_answer
+        else already_adopted
+    )
+    return [_poll(state, runner, now, may_extend) for runner in selected]
 
 
-def _may_be_asked(runner: RunnerState, now: float) -> bool:
+def _may_be_polled(runner: RunnerState, now: float) -> bool:
     if runner.gone or not runner.entry.address:
         return False
     if runner.polling and not _fence_is_urgent(runner, now):
@@ -55,70 +65,84 @@
     return _poll_is_due(runner, now)
 
 
-def _in_turn(state: Scheduler, unknown: list[RunnerState], now: float) -> list[RunnerState]:
-    """Return which runners to ask for the first time.
+def _select_first_polls(
+    state: Scheduler, awaiting_first_answer: list[RunnerState], now: float
+) -> list[RunnerState]:
+    """Return the runners to poll for the first time.
 
-    Those of zones that answer come first, then who was asked longest ago. Runners known to be
-    silent have places of their own, so that the others never wait for them.
+    Runners in zones that answer come first, then those polled longest ago. Silent runners have a
+    limit of their own, so that the others never wait for them.
     """
     silence = _silence_by_zone(state, now)
-    unknown.sort(key=lambda one: (silence[one.entry.availability_zone], one.polled_at))
-    answering = [one for one in unknown if one.silent_since is None]
-    silent = [one for one in unknown if one.silent_since is not None]
-    silent.sort(key=lambda one: one.polled_at)
-    return answering[: _places(state, False, now)] + silent[: _places(state, True, now)]
+    awaiting_first_answer.sort(
+        key=lambda candidate: (silence[candidate.entry.availability_zone], candidate.polled_at)
+    )
+    answering = [candidate for candidate in awaiting_first_answer if candidate.silent_since is None]
+    silent = [
+        candidate for candidate in awaiting_first_answer if candidate.silent_since is not None
+    ]
+    silent.sort(key=lambda candidate: candidate.polled_at)
+    return (
+        answering[: _free_first_polls(state, False, now)]
+        + silent[: _free_first_polls(state, True, now)]
+    )
 
 
 def _silence_by_zone(state: Scheduler, now: float) -> Counter[AvailabilityZone]:
-    """Return how many of each zone were asked and have not answered."""
+    """Return how many polled runners of each zone have not answered."""
     return Counter(
-        one.entry.availability_zone
-        for one in state.runners.values()
-        if not one.adopted
-        and one.polled_at >= 0
-        and (one.silent_since is not None or now - one.polled_at >= ANSWERS_WITHIN_S)
+        candidate.entry.availability_zone
+        for candidate in state.runners.values()
+        if not candidate.adopted
+        and candidate.polled_at >= 0
+        and (candidate.silent_since is not None or now - candidate.polled_at >= FIRST_POLL_SLOT_S)
     )
 
 
-def _places(state: Scheduler, silent: bool, now: float) -> int:
-    """Return how many more may be asked, of those that are silent or of the others."""
-    held = sum(
+def _free_first_polls(state: Scheduler, silent: bool, now: float) -> int:
+    """Return how many more runners may get a first poll, among the silent ones or the others."""
+    in_progress = sum(
         1
-        for one in state.runners.values()
-        if one.polling
-        and not one.adopted
-        and (one.silent_since is not None) is silent
-        and now - one.polled_at < ANSWERS_WITHIN_S
+        for candidate in state.runners.values()
+        if candidate.polling
+        and not candidate.adopted
+        and (candidate.silent_since is not None) is silent
+        and now - candidate.polled_at < FIRST_POLL_SLOT_S
     )
-    return max(0, MOST_ADOPTING - held)
+    return max(0, MAX_CONCURRENT_FIRST_POLLS - in_progress)
 
 
 def _fence_is_urgent(runner: RunnerState, now: float) -> bool:
-    """Tell whether to ask at once a runner that started again and has not told that it is fenced.
+    """Return whether to poll at once a restarted runner that has not confirmed the leader's fence.
 
-    Until then it carries out orders that were meant for it before.
+    Until it does, it carries out orders that were meant for its earlier incarnation.
     """
-    restarted = runner.rank > 0 and not runner.adopted and now - runner.met_at <= FENCE_SOON_S
-    return restarted and now - runner.polled_at >= FENCE_AGAIN_S
+    restarted = (
+        runner.rank > 0 and not runner.adopted and now - runner.met_at <= FENCE_POLL_PERIOD_S
+    )
+    return restarted and now - runner.polled_at >= FENCE_POLL_INTERVAL_S
 
 
 def _poll_is_due(runner: RunnerState, now: float) -> bool:
-    since = now - runner.polled_at
+    since_poll_s = now - runner.polled_at
     if _fence_is_urgent(runner, now):
         return True
     if runner.seen_next > runner.seen:
-        # Its ends wait to be kept and come again at once; the lease has to go on meanwhile.
-        return since >= IDLE_POLL_S
+        # Its reported ends are not stored yet, so a poll would return them at once. The lease
+        # has to be extended meanwhile.
+        return since_poll_s >= IDLE_POLL_INTERVAL_S
     if runner.silent_since is not None:
-        # An entry of another writer may name an address where nobody is, for good.
-        unheard = runner.answered_at < 0 and not runner.runs
-        seldom = unheard and now - runner.silent_since >= UNHEARD_S
-        return since >= (UNHEARD_POLL_S if seldom else SILENT_POLL_S)
+        # An entry of another writer may permanently name an address at which no runner exists.
+        never_answered = runner.answered_at < 0 and not runner.runs
+        poll_rarely = never_answered and now - runner.silent_since >= NEVER_ANSWERED_AFTER_S
+        return since_poll_s >= (
+            NEVER_ANSWERED_POLL_INTERVAL_S if poll_rarely else SILENT_POLL_INTERVAL_S
+        )
     if not runner.adopted:
         return True
     if runner.runs:
         return True
-    return runner.listed and since >= IDLE_POLL_S
+    return runner.listed and since_poll_s >= IDLE_POLL_INTERVAL_S
 
 
 def _poll(state: Scheduler, runner: RunnerState, now: float, may_extend: bool) -> Poll:
@@ -127,5 +151,7 @@
     until_ms = None
     if runner.adopted and runner.runs and may_extend:
         until_ms = runner.grant(now)
-    calm = runner.adopted and runner.silent_since is None and runner.runs
-    return Poll(state.target(runner), runner.seen, until_ms, POLL_WAIT_MS if calm else 0)
+    may_wait_for_end = runner.adopted and runner.silent_since is None and runner.runs
+    return Poll(
+        state.target(runner), runner.seen, until_ms, MAX_POLL_WAIT_MS if may_wait_for_end else 0
+    )
--- a/spoolcrank/start_window.py
+++ b/spoolcrank/start_window.py
@@ -1,15 +1,15 @@
-"""Let starts out no faster than the leader's link carries them.
-
-Pattern: wide jobs arrive together, every task's start carries the job's payload, and all of them
-leave through one instance's link. What queues there for longer than an order may take counts as
-unanswered, is sent again or stopped, and is bound anew; the repeats fill the link, and the load
-never falls again. So starts wait at the leader, in the order of
-work, and the bytes on their way are bounded by how late their answers come, as congestion control
-does for one connection: a first window doubles with each round trip while answers are quick, and
-shrinks where they are late. Tasks are bound only for what the window will soon take, so that a
-waiting start holds no place for long and a job that comes later, and is worth more, goes first.
-
-Polls, stops and paces don't wait: they are small, and leases and tails depend on them.
+"""Limit the rate of starts to what the leader's network link carries.
+
+When wide jobs arrive together, every task's start carries the job's payload, and all starts leave
+through one instance's link. A start that queues there for longer than an order's time-out counts as
+unanswered, is sent again or stopped, and its task is bound again. The repeats fill the link, and
+the load never falls again. Starts therefore wait at the leader, in the order of work, and a window
+limits the bytes in flight by the delay of their answers, like the congestion control of one
+connection: the window doubles with each round trip at first while answers are quick, and shrinks
+when they are late. Tasks are bound only for what the window will soon admit, so that a waiting
+start does not occupy a runner for long, and a more valuable job that arrives later can go first.
+
+Polls, stops and paces do not wait: they are small, and leases and tail latencies depend on them.
 """
 
 from collections import deque
@@ -21,41 +21,50 @@
 from spoolcrank.zone_silence import ZoneSilence
 
 START_BYTES = 400
-"""Of a start without payload and checkpoint, bytes: some 250 of headers, the rest of its body."""
+"""Size of a start without payload and checkpoint, in bytes: some 250 for headers, the rest for the
+body."""
 
 FIRST_WINDOW = 32 * 1024
-"""Bytes on their way before anything is known of the link: 0.26 s of one of 1 Mbit/s, the smallest
-that the platform gives; over a usual one 6 MB a second with answers after 5 ms."""
+"""Initial limit on the bytes in flight, before anything is known about the link. It takes 0.26 s on
+a link of 1 Mbit/s, the slowest that the platform provides, and allows 6 MB per second on a usual
+one with answers after 5 ms."""
 
-LEAST_WINDOW = 8 * 1024
-"""Two starts of the largest payload, bytes; less would leave the link idle between them."""
+MIN_WINDOW_BYTES = 8 * 1024
+"""Minimum of the window, in bytes: two starts of the largest payload. With less the link would be
+idle between them."""
 
-MOST_WINDOW = 4 * 1024 * 1024
-"""Bytes; half a second of the largest instances' links (100 Mbit/s)."""
+MAX_WINDOW_BYTES = 4 * 1024 * 1024
+"""Maximum of the window, in bytes: half a second of the largest instances' links (100 Mbit/s)."""
 
-BOUND_AHEAD = 1.25
-"""Times the window that tasks are bound for. More would hold places for starts that wait behind
-others on the link, and leave what arrives next behind them: with 2 an urgent task of a simulated
+BIND_AHEAD_FACTOR = 1.25
+"""Multiple of the window for which tasks are bound. A larger factor would occupy runners for starts
+that wait for the link, and delay the jobs that arrive next: with 2 an urgent task of a simulated
 burst over 1 Mbit/s started after 0.6 to 0.8 s, with 1.25 after 0.4 to 0.55 s."""
 
 LATE_S = 0.15
-"""An answer after so long is late, s: a quarter of an order's time-out. Answers usually take 2 to 5
-ms, and one polling answer of a busy runner does not hold up a start."""
+"""Time after which an answer counts as late, in seconds: a quarter of an order's time-out. Answers
+usually take 2 to 5 ms, and one poll answer of a busy runner does not delay a start this much."""
 
-SHRINK = 0.7
-"""Of the window where an answer was late, once for each round trip; the usual halving empties a
-queue that holds most of the delay, and the link then idles."""
+SHRINK_FACTOR = 0.7
+"""Factor applied to the window after a late answer, at most once per round trip. The usual halving
+empties the queue that causes most of the delay, which leaves the link idle."""
 
-STEP = LEAST_WINDOW
-"""Bytes that a window gains with each round trip once it has been too large."""
+WINDOW_STEP_BYTES = MIN_WINDOW_BYTES
+"""Bytes by which the window grows per round trip once it has been too large."""
 
 
-NOWHERE = AvailabilityZone("")
+NO_ZONE = AvailabilityZone("")
 
 
 @dataclass(slots=True)
 class Flying:
-    """A start on its way: what it counts for in bytes, when it was sent, to which zone."""
+    """A start in flight.
+
+    Attributes:
+        size: the bytes that it counts for in the window.
+        sent_at: when it was sent, monotonic seconds.
+        zone: the availability zone of its runner.
+    """
 
     size: int
     sent_at: float
@@ -64,14 +73,14 @@
 
 @dataclass
 class StartWindow:
-    """The starts of one leader on their way, and those that wait for their turn.
+    """The starts of one leader that are in flight, and those that wait to be sent.
 
     Attributes:
-        waiting: runs whose record is kept, in the order of work.
-        limit: bytes that may be on their way at once.
-        held_back: something could be placed, but waits until the window takes more.
-        turn_at: when a job last had a turn out of order, monotonic seconds.
-        zones: which of them answer.
+        waiting: runs whose record is stored, in the order of work.
+        limit: maximum bytes in flight.
+        held_back: whether tasks that could be placed wait for free space in the window.
+        last_turn_at: when a job last got a turn out of order, monotonic seconds.
+        zones: which availability zones answer.
     """
 
     waiting: deque[BoundRun] = field(default_factory=deque)
@@ -80,35 +89,35 @@
     turn_at: float = -1.0
     zones: ZoneSilence = field(default_factory=ZoneSilence)
     _slow_start: bool = True
-    _flying: dict[tuple[TaskKey, int], Flying] = field(default_factory=dict)
-    _flying_bytes: int = 0
-    _left_at: float = -1.0
-    _quick_at: float = -1.0
-    _shrunk_at: float = -1.0
+    _in_flight: dict[tuple[TaskKey, int], Flying] = field(default_factory=dict)
+    _in_flight_bytes: int = 0
+    _last_sent_at: float = -1.0
+    _last_quick_answer_at: float = -1.0
+    _last_shrunk_at: float = -1.0
 
     @property
     def open(self) -> bool:
-        """Tell whether one more start may leave; one at a time always may."""
-        return self._flying_bytes < self.limit
+        """Return whether the window has free space; one start at a time may always be sent."""
+        return self._in_flight_bytes < self.limit
 
     def takes(self, now: float) -> bool:
-        """Tell whether one more start may leave now.
+        """Return whether one more start may be sent now.
 
-        Where the window is full and nothing has left for as long as an answer may take, all that
-        is on its way may be at silent runners. A quick answer to one more start tells.
+        If the window is full and no start was sent for LATE_ANSWER_S, all starts in flight may be
+        at silent runners. A quick answer to one more start shows whether that is so.
         """
-        return self.open or (bool(self._flying) and now - self._left_at >= LATE_S)
+        return self.open or (bool(self._in_flight) and now - self._last_sent_at >= LATE_S)
 
     @property
-    def wanted(self) -> bool:
-        """Tell whether more would be sent, or bound, if the link took it."""
+    def blocked(self) -> bool:
+        """Return whether more starts would be sent, or tasks bound, if the window had space."""
         return self.held_back or bool(self.waiting)
 
     def silent_zones(self, now: float) -> frozenset[AvailabilityZone]:
-        """Return the zones that seem to be cut off just now."""
-        for one in self._flying.values():
-            if now - one.sent_at >= LATE_S:
-                self.zones.missed(one.zone, one.sent_at)
+        """Return the availability zones that appear to be partitioned now."""
+        for start in self._in_flight.values():
+            if now - start.sent_at >= LATE_S:
+                self.zones.missed(start.zone, start.sent_at)
         return self.zones.silent(now)
 
     def sent(
@@ -117,75 +126,75 @@
         run: int,
         size: int,
         now: float,
-        zone: AvailabilityZone = NOWHERE,
+        zone: AvailabilityZone = NO_ZONE,
     ) -> None:
-        """Take note of a start that leaves."""
-        self._landed(task, run)
-        self._flying[task, run] = Flying(size, now, zone)
-        self._flying_bytes += size
-        self._left_at = now
-
-    def _landed(self, task: TaskKey, run: int) -> Flying | None:
-        start = self._flying.pop((task, run), None)
+        """Record a start that is sent now."""
+        self._remove_in_flight(task, run)
+        self._in_flight[task, run] = Flying(size, now, zone)
+        self._in_flight_bytes += size
+        self._last_sent_at = now
+
+    def _remove_in_flight(self, task: TaskKey, run: int) -> Flying | None:
+        start = self._in_flight.pop((task, run), None)
         if start is not None:
-            self._flying_bytes -= start.size
+            self._in_flight_bytes -= start.size
         return start
 
     def answered(self, task: TaskKey, run: int, took_s: float, now: float) -> None:
-        """Take note of an answer, of whatever kind, `took_s` after its start left."""
-        was_full = self._flying_bytes * 2 >= self.limit
-        start = self._landed(task, run)
+        """Record any kind of answer to a start, `took_s` after the start was sent."""
+        was_full = self._in_flight_bytes * 2 >= self.limit
+        start = self._remove_in_flight(task, run)
         if start is None:
             return
         self.zones.answered(start.zone, start.sent_at)
         if took_s >= LATE_S:
             self._shrink(start, now)
             return
-        self._quick_at = now
-        self._leave_out_silent(start)
+        self._last_quick_answer_at = now
+        self._discount_silent(start)
         if was_full:
-            grown = start.size if self._slow_start else STEP * start.size / self.limit
-            self.limit = min(MOST_WINDOW, self.limit + grown)
+            growth = start.size if self._slow_start else WINDOW_STEP_BYTES * start.size / self.limit
+            self.limit = min(MAX_WINDOW_BYTES, self.limit + growth)
 
-    def _leave_out_silent(self, quick: Flying) -> None:
-        """Count nothing that left long before a start that was answered quickly.
+    def _discount_silent(self, answered_start: Flying) -> None:
+        """Stop counting starts that were sent long before one that was answered quickly.
 
-        Its runner is silent, not the link full. Where a zone is cut off the window would else be
-        full of starts that wait there for their time-out.
+        Their runners are silent; the link is not full. If a zone is partitioned, starts that wait
+        there for their time-out would otherwise fill the window.
         """
-        for start in self._flying.values():
-            if start.sent_at > quick.sent_at - LATE_S:
+        for start in self._in_flight.values():
+            if start.sent_at > answered_start.sent_at - LATE_S:
                 return
-            self._flying_bytes -= start.size
+            self._in_flight_bytes -= start.size
             start.size = 0
 
     def unanswered(self, task: TaskKey, run: int, now: float) -> None:
-        """Take note that a start has no answer: its runner may be at fault, or the link.
+        """Record that a start got no answer, because of its runner or because of the link.
 
-        The link only where no other start was answered quickly since this one left; a zone that is
-        cut off takes a fifth of all starts without a word.
+        The link counts as the cause only if no start was answered quickly since this one was sent:
+        a partitioned zone leaves a fifth of all starts unanswered.
         """
-        start = self._landed(task, run)
+        start = self._remove_in_flight(task, run)
         if start is None:
             return
         self.zones.missed(start.zone, start.sent_at)
-        if self._quick_at < start.sent_at:
+        if self._last_quick_answer_at < start.sent_at:
             self._shrink(start, now)
 
     def _shrink(self, start: Flying, now: float) -> None:
-        # What left before the last change tells nothing of the window since.
-        if start.sent_at < self._shrunk_at:
+        # A start sent before the last change says nothing about the window since.
+        if start.sent_at < self._last_shrunk_at:
             return
-        self._shrunk_at = now
+        self._last_shrunk_at = now
         self._slow_start = False
-        self.limit = max(LEAST_WINDOW, self.limit * SHRINK)
+        self.limit = max(MIN_WINDOW_BYTES, self.limit * SHRINK_FACTOR)
 
     def room(self, waiting_bytes: int, now: float) -> float:
-        """Return for how many bytes of starts tasks may be bound beyond what waits already.
+        """Return for how many bytes of starts further tasks may be bound.
 
-        A quarter more than may be on its way: the records take a store's answer, and the link is
-        not to idle meanwhile.
+        Tasks are bound for a quarter more than the window, so that the link is not idle while the
+        store confirms their records.
         """
-        room = BOUND_AHEAD * self.limit - self._flying_bytes - waiting_bytes
-        # With one byte left the first start that is bound ends it.
+        room = BIND_AHEAD_FACTOR * self.limit - self._in_flight_bytes - waiting_bytes
+        # One byte allows exactly one more start to be bound.
         return max(1.0, room) if not waiting_bytes and self.takes(now) else room
--- a/spoolcrank/takeover.py
+++ b/spoolcrank/takeover.py
@@ -1,4 +1,4 @@
-"""Take what the records hold into a leader's state, and tell of each job that is read."""
+"""Restore a leader's state from the records, and log each job that is read."""
 
 from spoolcrank.job_state import JobState
 from spoolcrank.keyed_log import (
@@ -18,18 +18,18 @@
 from spoolcrank.workflow import decode_job, decode_progress
 
 
-def take_records(
+def restore_state(
     scheduler: Scheduler,
     copy: KeyedLog,
     telemetry: Telemetry,
     now: float,
     time_of_day_ms: float,
 ) -> None:
-    """Build a new leader's state from the records; tells of those jobs that are new."""
+    """Build a new leader's state from the records; log the jobs that have no progress yet."""
     try:
-        restore_learnt(scheduler, copy)
+        restore_learned(scheduler, copy)
     except Unreadable as exc:
-        tell_unreadable(telemetry, copy.newest[LEARNT_KEY], str(exc))
+        log_unreadable_record(telemetry, copy.newest[LEARNT_KEY], str(exc))
     for key, record in list(copy.newest.items()):
         if record.value and kind_of(key) is RecordKind.JOB:
             read_job(scheduler, copy, record, telemetry, now, time_of_day_ms, taking_over=True)
@@ -45,23 +45,23 @@
     time_of_day_ms: float,
     taking_over: bool = False,
 ) -> None:
-    """Add a job of which a record was read; a takeover tells only of those that are new."""
+    """Add a job whose record was read, and log it unless a takeover resumes it."""
     try:
-        resumed = take_job(scheduler, copy, record, now, time_of_day_ms)
+        resumed = restore_job(scheduler, copy, record, now, time_of_day_ms)
     except Unreadable as exc:
-        tell_unreadable(telemetry, record, str(exc))
+        log_unreadable_record(telemetry, record, str(exc))
         return
     if not (resumed and taking_over):
-        tell_job(telemetry, scheduler.jobs[job_of_key(record.key)], record.offset, resumed)
+        log_job(telemetry, scheduler.jobs[job_of_key(record.key)], record.offset, resumed)
 
 
-def take_job(
+def restore_job(
     scheduler: Scheduler, copy: KeyedLog, record: KeyedRecord, now: float, time_of_day_ms: float
 ) -> bool:
-    """Add a job with what was done of it; returns whether it is resumed.
+    """Add a job with its stored progress; return whether it is resumed.
 
-    Raises Unreadable, and leaves the job alone, where either record cannot be read: taken as fresh
-    it would run again what was done.
+    Raise Unreadable, and do not add the job, if either record cannot be read: added as a new job it
+    would repeat completed work.
     """
     job = job_of_key(record.key)
     progress = copy.value(progress_key(job))
@@ -77,8 +77,8 @@
     return bool(progress)
 
 
-def restore_learnt(scheduler: Scheduler, copy: KeyedLog) -> None:
-    """Go on from what earlier leaders learnt; raises Unreadable."""
+def restore_learned(scheduler: Scheduler, copy: KeyedLog) -> None:
+    """Restore the state learned by earlier leaders; raise Unreadable if it cannot be read."""
     value = copy.value(LEARNT_KEY)
     if not value:
         return
@@ -87,8 +87,8 @@
     scheduler.times.restore(stored.times)
 
 
-def tell_job(telemetry: Telemetry, job: JobState, offset: int, resumed: bool) -> None:
-    """Write the line about a job that was read."""
+def log_job(telemetry: Telemetry, job: JobState, offset: int, resumed: bool) -> None:
+    """Log a job that was read."""
     steps = job.record.workflow.steps
     telemetry.log(
         "job-read",
@@ -105,11 +105,11 @@
     )
 
 
-def tell_unreadable(telemetry: Telemetry, record: KeyedRecord, why: str) -> None:
-    """Say that a record of our log is left out: what it is about stays as it is."""
+def log_unreadable_record(telemetry: Telemetry, record: KeyedRecord, why: str) -> None:
+    """Log that a record of the scheduler's log is skipped; the state stays unchanged."""
     telemetry.log("record-unreadable", grave=True, key=record.key, offset=record.offset, why=why)
 
 
-def tell_unreadable_entry(telemetry: Telemetry, record: KeyedRecord, why: str) -> None:
-    """Say that an entry in the list of runners is left out: it names no runner to use."""
+def log_unreadable_entry(telemetry: Telemetry, record: KeyedRecord, why: str) -> None:
+    """Log that an entry in the list of runners is skipped; its runner is not used."""
     telemetry.log("entry-unreadable", grave=True, runner=record.key, offset=record.offset, why=why)
--- a/spoolcrank/unkept.py
+++ b/spoolcrank/unkept.py
@@ -1,4 +1,4 @@
-"""Hold what the leader's records do not say yet, and what follows once they do."""
+"""Hold the leader's pending writes, and the actions that follow once they are stored."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -17,13 +17,13 @@
 
 
 class Batch(NamedTuple):
-    """What is to be kept in one append, and what follows once it is.
+    """The records of one append, and the actions that follow once it is stored.
 
     Attributes:
         records: to be appended.
-        starts: to be ordered once the records are kept.
-        seen: per runner, the ends that may be forgotten then.
-        preassigned: runs that may be ordered on without another record then.
+        starts: runs to be ordered once the records are stored.
+        seen: for each runner, the number up to which it may forget ends then.
+        preassigned: runs that may be ordered without another record then.
     """
 
     records: list[KeyedRecord]
@@ -34,20 +34,20 @@
 
 @dataclass
 class Unkept:
-    """What goes into the next batch.
+    """The contents of the next batch.
 
     Attributes:
-        jobs: those whose progress has changed, in that order.
-        starts: runs to be ordered once their record is kept.
-        preassigned: runs that are preassigned once their record is kept.
-        others: records that belong to no job's progress.
+        jobs: jobs whose progress has changed, in the order of their first change.
+        starts: runs to be ordered once their record is stored.
+        preassigned: runs that are preassigned once their record is stored.
+        other_records: records other than those of jobs' progress.
     """
 
     jobs: dict[JobId, None] = field(default_factory=dict)
     starts: list[BoundRun] = field(default_factory=list)
     preassigned: list[BoundRun] = field(default_factory=list)
-    others: list[KeyedRecord] = field(default_factory=list)
+    other_records: list[KeyedRecord] = field(default_factory=list)
 
     def change(self, job: JobId) -> None:
-        """Take note that a job's progress has to be written again."""
+        """Record that a job's progress has to be written again."""
         self.jobs[job] = None
--- a/tests/test_claiming.py
+++ b/tests/test_claiming.py
@@ -1,4 +1,4 @@
-"""What a claim and an offer rest on: each test breaks when its mechanism is taken out."""
+"""Test the conditions of claims and offers; each test fails without its mechanism."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,10 +11,10 @@
 from spoolcrank.ids import Incarnation, InstanceId
 from spoolcrank.keyed_log import LEADER_KEY, OFFER_KEY, KeyedLog
 from spoolcrank.leadership import (
-    JITTER_S,
+    CLAIM_JITTER_S,
+    LEADER_TIMEOUT_S,
     SELF_FENCE_S,
-    SILENT_S,
-    SMALLER_S,
+    SMALLER_INSTANCE_DELAY_S,
     Leadership,
     Offer,
     decode_claim,
@@ -28,7 +28,7 @@
 
 
 class _Follower:
-    """Reads up at once; what it reads may be a sign of life of the leader."""
+    """A follower that reads to the log's end at once, possibly finding a leader heartbeat."""
 
     def __init__(self, on_read: Callable[[], None]) -> None:
         self.copy = KeyedLog()
@@ -42,7 +42,7 @@
 
 
 class _Log:
-    """Takes note of what is appended and answers nothing."""
+    """A log that records appends and does not answer."""
 
     def __init__(self) -> None:
         self.appends: list[Append] = []
@@ -53,7 +53,7 @@
 
 def _silent_leader() -> Leadership:
     leadership = Leadership(InstanceId("entry-1"), Incarnation("entry-1-1"), NOW - 60.0)
-    leadership.in_contact(NOW - 60.0)
+    leadership.record_log_answer(NOW - 60.0)
     return leadership
 
 
@@ -61,21 +61,21 @@
 def test_a_claimant_that_reads_a_sign_of_life_first_does_not_claim(
     lives: bool, claims: int
 ) -> None:
-    """Who does not lead reads late: the leader that seems silent may have written meanwhile."""
+    """Followers read late, so a leader that seems silent may have written in the meantime."""
     leadership = _silent_leader()
     log: Any = _Log()
-    follower: Any = _Follower(lambda: leadership.heard(NOW) if lives else None)
+    follower: Any = _Follower(lambda: leadership.record_leader_write(NOW) if lives else None)
     logged: Any = Logged()
-    Claiming(leadership, log, follower, logged, lambda: NOW).work(NOW)
+    Claiming(leadership, log, follower, logged, lambda: NOW).claim_or_offer(NOW)
     assert len(log.appends) == claims
 
 
 def test_a_smaller_instance_waits_out_all_that_may_hold_a_large_one_up() -> None:
-    assert SMALLER_S >= JITTER_S + LAZY_GAP_S + TICK_S
+    assert SMALLER_INSTANCE_DELAY_S >= CLAIM_JITTER_S + LAZY_GAP_S + TICK_S
 
 
 def test_a_claim_counts_from_the_first_sending_of_its_term() -> None:
-    """Any sending may be the one that was kept, and successors reckon from when it was."""
+    """Any attempt may be the stored one, and successors count from when it was stored."""
     leadership = _silent_leader()
     first = leadership.next_claim(NOW)
     again = leadership.next_claim(NOW + 1.0)
@@ -97,7 +97,7 @@
 
 
 def test_the_first_offer_that_is_read_names_the_heir() -> None:
-    """The second one would claim beside the first, and the others wait for both."""
+    """A second successor would claim at the same time, and the others would wait for both."""
     world = small(instances=3)
     leader = world.leader()
     assert leader is not None
@@ -113,14 +113,14 @@
 
 
 def test_a_pass_in_parts_goes_on_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Where a part binds nothing, nothing else wakes the leader before its next tick, 0.1 s."""
+    """If a part binds nothing, nothing else triggers a decision before the next tick (0.1 s)."""
     monkeypatch.setattr(placing_pass, "MOST_WEIGHED", 8)
     world = World(1)
     for number in range(8):
         world.add_runner(f"10.0.0.{number}:80", millicores=64_000)
     world.add_instance("entry-0")
     world.run_until(lambda: world.leader() is not None)
-    world.run(SILENT_S)
+    world.run(LEADER_TIMEOUT_S)
     jobs = 60
     for number in range(jobs):
         large = Step(count=1, millicores=90_000, memory_mb=1, lasting=True)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The leader's whole path in simulated time: placing, taking over, faults of all kinds."""
+"""Test the leader from end to end in simulated time: placing, takeover and faults."""
 
 from functools import partial
 
@@ -6,7 +6,7 @@
 from spoolcrank.ids import JobId
 from spoolcrank.job_intake import IntakeOutcome
 from spoolcrank.orders import EndKind
-from spoolcrank.polling import MOST_ADOPTING
+from spoolcrank.polling import MAX_CONCURRENT_FIRST_POLLS
 from spoolcrank.workflow import JobPhase, Step
 from tests.fleet_world import World, small
 
@@ -62,7 +62,7 @@
 
 
 def test_the_next_process_of_the_leaders_instance_claims_without_waiting_for_silence() -> None:
-    """After all lost power nothing started for 1.4 s more, though the leader was surely gone."""
+    """After a total power loss nothing started for another 1.4 s, though the leader was gone."""
     world = small()
     world.instances["entry-0"].submit("a1", QUICK, AFTER)
     world.run(0.5)
@@ -91,7 +91,7 @@
 
 
 def test_the_stop_of_an_inherited_run_waits_until_its_runner_is_taken_over() -> None:
-    """A cancelled job's stop once went to a runner whose address was not read yet."""
+    """The stop of a cancelled job was sent to a runner whose address had not been read yet."""
     world = small(instances=1)
     lasting = Step(count=2, millicores=1000, memory_mb=100, lasting=True)
     instance = world.instances["entry-0"]
@@ -128,7 +128,7 @@
 
 
 def test_tasks_live_through_six_seconds_behind_a_cut() -> None:
-    """Every task of a zone that was cut off for 5.3 to 6.3 s lapsed just before the cut's end."""
+    """All tasks of a zone partitioned for 5.3 to 6.3 s lapsed just before the partition ended."""
     world = small()
     cut_off = next(iter(world.runners.values()))
     for one in world.runners.values():
@@ -233,7 +233,7 @@
 
 
 def test_a_counted_task_that_stands_still_starts_elsewhere_after_a_report() -> None:
-    """A short job waited 2.5 s and more for a task that showed no progress."""
+    """A short job waited 2.5 s or more for a task that made no progress."""
     world = small()
     next(iter(world.runners.values())).hangs = True
     for number in range(4):
@@ -294,7 +294,7 @@
 
 
 def test_lasting_tasks_that_fit_nowhere_keep_none_behind_them_waiting() -> None:
-    """Once three steps of an image found no place, a fourth that fitted was not tried."""
+    """After three steps of an image could not be placed, a fourth that fitted was not tried."""
     world = small(runners=2)
     for one in world.runners.values():
         one.work_s = 1000.0
@@ -309,7 +309,7 @@
 
 
 def test_leases_go_on_where_ends_wait_for_the_store() -> None:
-    """A runner with an end that could not be kept was not polled at, and its leases lapsed."""
+    """A runner with an end that could not be stored was not polled, and its leases lapsed."""
     world = small(runners=1)
     runner = next(iter(world.runners.values()))
     world.instances["entry-0"].submit("da", Step(count=2, millicores=1000, memory_mb=100))
@@ -355,7 +355,7 @@
 
 
 def test_a_task_that_ran_before_waits_behind_none_of_its_step() -> None:
-    """Its place in line was behind tasks that the reserve held back (hunted at Bengal: LOST)."""
+    """It waited behind tasks that the reserve held back, and its job counted as lost."""
     world = small(runners=1)
     runner = next(iter(world.runners.values()))
     runner.work_s = 1000.0
@@ -392,7 +392,7 @@
 
 
 def test_the_leader_hands_over_to_a_much_larger_instance() -> None:
-    """On the grown site a small instance led, was busy all day, and starts came a second late."""
+    """On a large deployment a small instance led, was always busy, and starts came 1 s late."""
     world = small()
     world.add_instance("large", processors=4.0)
     world.add_instance("larger-by-little", processors=4.4)
@@ -416,7 +416,7 @@
 
 
 def test_a_leader_that_reads_its_log_anew_hands_over_to_nobody_that_is_gone() -> None:
-    """It read the offer of an instance that had led and died since, and resigned for it."""
+    """It read an offer of an instance that had led and died since, and resigned in its favour."""
     world = small()
     large = world.add_instance("large", processors=4.0)
     world.run_until(lambda: large.leadership.leads, 12.0)
@@ -433,7 +433,7 @@
 
 
 def test_lasting_tasks_leave_a_runner_whose_entry_went_without_a_word() -> None:
-    """Some runners never say that they leave; their tasks stayed until they died with them."""
+    """Some runners leave unannounced; their tasks stayed on them until the runners ended."""
     world = small()
     for one in world.runners.values():
         one.work_s = 1000.0
@@ -470,7 +470,7 @@
 
 
 def test_a_state_is_told_only_from_a_copy_that_has_caught_up() -> None:
-    """A slow instance read for ever the same large part; one part alone must not count as now."""
+    """A slow instance kept reading the same large part; one part must not count as up to date."""
     world = small()
     reader = world.instances["entry-1"]
     world.store.turned_away = {"entry-1"}
@@ -488,7 +488,7 @@
 
 
 def test_a_large_instance_claims_before_small_ones_after_any_death() -> None:
-    """Small ones that led a large fleet were each too busy to be heard, one after the other."""
+    """Small leaders of a large fleet were too busy to send heartbeats, one after the other."""
     for seed in range(5):
         world = small(seed=seed)
         for name in ("large", "spare"):
@@ -515,5 +515,5 @@
         asked = [one for one in scheduler.runners.values() if one.polling and not one.adopted]
         most = max(most, len(asked))
     world.run(1.0)
-    assert 0 < most <= MOST_ADOPTING
+    assert 0 < most <= MAX_CONCURRENT_FIRST_POLLS
     assert all(one.adopted for one in scheduler.runners.values())
--- a/tests/test_lead_again.py
+++ b/tests/test_lead_again.py
@@ -1,4 +1,4 @@
-"""An instance that gives the lead up and leads again while runs of its earlier term are at work."""
+"""Test an instance that resigns and leads again while runs of its earlier term are running."""
 
 from spoolcrank.ids import Incarnation, InstanceId, JobId
 from spoolcrank.keyed_log import LEARNT_KEY, progress_key
@@ -15,7 +15,7 @@
 
 
 def _leads_again(seed: int) -> tuple[World, Instance]:
-    """Hold the only instance up as the store takes its write, while one runner is cut off."""
+    """Delay the only instance as the store accepts its write, with one runner partitioned."""
     world = small(instances=1, seed=seed)
     for one in world.runners.values():
         one.work_s = WORK_S
@@ -36,19 +36,17 @@
 
 
 def test_runs_of_its_own_earlier_term_count_as_at_work_until_their_leases_passed() -> None:
-    """A leader that led again started anew what ran on runners that it had not asked yet.
+    """A leader that led again restarted the runs on runners that it had not polled yet.
 
-    Seen: many tasks of one job, done and taken note of, were started again a second later, under
-    one leading instance and without any disturbance, 10 s after its start.
-    How it came about: a pass over a thousand waiting tasks held the leader up for a second; the
-    answer to a write of its own came too late, so it gave up, claimed again and led again. At the
-    next tick it released every run on runners not asked yet ("every lease has passed"), started
-    them elsewhere, and then acknowledged the ends of the first runs as not its own.
-    Cause: from when leases of an earlier leader count was taken from the newest record read of
-    another leader; for an instance that had led itself that was its own start.
-    Proof: this test, without the mend, breaks with 36 of 60 seeds, in each
-    of which it gives the lead up; where it happens to read its own last write only after it gave
-    up, it counts from then and nothing is wrong.
+    Many completed and recorded tasks of a job were started again a second later, 10 s after the
+    start of the only instance. A pass over a thousand waiting tasks delayed the leader for a
+    second, so that a write was confirmed too late, and it resigned and led again. It then released
+    the runs on runners not polled yet ("every lease has passed"), started them elsewhere, and
+    acknowledged the first runs' ends as not its own. The leases were counted from the newest record
+    of another leader, which for an instance that had led itself was its own start.
+    Without the fix this test fails with 36 of 60 seeds, in each of which the leader resigns. If it
+    reads its own last write only after it resigned, it counts from then and the fault does not
+    occur.
     """
     gave_up = 0
     for seed in range(SEEDS):
@@ -59,17 +57,16 @@
 
 
 def test_leases_are_extended_only_by_writes_that_others_hear_no_earlier() -> None:
-    """A successor started anew what a leader had kept alive by the late answer to an old write.
+    """A successor restarted runs whose leases a leader extended after a late answer to a write.
 
-    Seen: a task done under one leader was started again 14 s later under another, on a day on
-    which the store was away and a zone was cut off; the order of events there is not proved.
-    How it came about here: the store takes a leader's write and its answer is lost, as are those
-    to its repeats; 6 s later a repeat is answered, and the leader extends leases from then. The
-    others read the record when it was taken and can reach the store again just then. The leader
-    is turned away before it writes anything more, and one of them claims.
-    Cause: the repeat's time counted as the write's, though others heard it 6 s earlier; the
-    successor took the leases on a runner that it could not reach as passed, 6 s too early.
-    Proof: this test, without the mend, starts tasks a second time while they run.
+    A task done under one leader was started again 14 s later under another, with the store
+    unavailable and a zone partitioned; the order of events there is not proved. Here the store
+    accepts a leader's write, but the answers to it and its repeats are lost. 6 s later a repeat is
+    answered, and the leader extends leases from then. The other instances read the record when it
+    was stored and reach the store again only now. The store refuses the leader before it writes
+    again, and one of them claims. As the repeat's time counted as the write's, the successor
+    treated the leases on an unreachable runner as expired 6 s too early.
+    Without the fix this test starts tasks a second time while they run.
     """
     world = small()
     for one in world.runners.values():
@@ -96,13 +93,12 @@
 
 
 def test_what_a_leader_learns_counts_among_its_signs_of_life() -> None:
-    """Leases could be taken as passed up to 0.4 s too early, by a successor that reads at once.
+    """A successor that reads at once could treat leases as expired up to 0.4 s too early.
 
-    Found by reading; no play showed it, as a follower that does not lead reads up to 0.3 s late,
-    which makes up for it.
-    Cause: a write of what was learnt confirms the leader, which extends leases from then and
-    puts its next heartbeat off; the others counted progress and claims only.
-    Proof: this test, without the mend: the follower has heard nothing since the last claim.
+    A write of learned state confirms the leader, which extends leases from then and defers its
+    next heartbeat; other instances counted only progress and claims. Found in code review: no
+    simulated run showed it, because followers read up to 0.3 s late, which compensates.
+    Without the fix the follower has received nothing since the last claim.
     """
     world = small()
     first = world.leader()
@@ -122,7 +118,7 @@
 def test_an_instance_counts_its_own_writes_among_those_of_earlier_leaders() -> None:
     leadership = Leadership(InstanceId("entry-0"), Incarnation("entry-0-1"), 100.0)
     leadership.read_claim(Claim(1, leadership.instance, leadership.incarnation), 101.0)
-    leadership.confirmed(130.0)
-    leadership.give_up(1)
+    leadership.record_confirmed_write(130.0)
+    leadership.resign(1)
     assert leadership.extends_until == 130.0 + SELF_FENCE_S
     assert leadership.predecessor_wrote_at >= 130.0
--- a/tests/test_leader_writer.py
+++ b/tests/test_leader_writer.py
@@ -1,4 +1,4 @@
-"""What the leader knows of when a write of its own was taken."""
+"""Test what the leader knows about when its own writes were stored."""
 
 from collections.abc import Callable
 from itertools import count
@@ -6,12 +6,12 @@
 
 import pytest
 
-from spoolcrank.leader_writer import Kept, LeaderWriter, Writing
+from spoolcrank.leader_writer import AppendTiming, LeaderWriter, PendingAppend
 from spoolcrank.store_port import Append, Appended, AppendOutcome
 
 
 class _Store:
-    """Answers each append with the next outcome."""
+    """A store that answers each append with the next outcome."""
 
     def __init__(self, *outcomes: AppendOutcome) -> None:
         self._outcomes = list(outcomes)
@@ -21,7 +21,7 @@
 
 
 class _Timers:
-    """Runs at once what is due later."""
+    """Timers that run delayed actions at once."""
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
         action()
@@ -40,12 +40,12 @@
 def test_a_write_counts_as_repeated_only_after_a_sending_that_may_have_been_taken(
     outcomes: list[AppendOutcome], repeated: bool
 ) -> None:
-    """Real clocks move between any two lines: a first sending must not look like a later one."""
+    """The clock advances between any two lines; a first attempt must not look repeated."""
     ticks = count(100)
     store: Any = _Store(*outcomes, AppendOutcome.KEPT)
     timers: Any = _Timers()
-    told: list[Kept] = []
+    told: list[AppendTiming] = []
     writer = LeaderWriter(store, timers, lambda: float(next(ticks)), 1, lambda why: None)
-    writer.write(Writing(Append([]), told.append))
+    writer.write(PendingAppend(Append([]), told.append))
     assert [kept.repeated for kept in told] == [repeated]
     assert told[0].first_at <= told[0].sent_at
--- a/tests/test_note_lines.py
+++ b/tests/test_note_lines.py
@@ -1,7 +1,8 @@
-"""Every decision has its line at the rate of a large fleet; nothing that touches a request is lost.
+"""Test that every decision is logged at the rate of a large fleet.
 
-Seen: a leader of 270 runners wrote 16,916 lines in a quiet day and left out 45,218; of 26,468
-starts 4,334 had a line, so that `why` and `report` told next to nothing.
+A leader of 270 runners wrote 16,916 lines in a quiet day and dropped 45,218. Only 4,334 of 26,468
+starts had a line, so that `why` and `report` showed almost nothing. No event that concerns a
+request may be dropped.
 """
 
 import json
@@ -18,7 +19,7 @@
 NOW = 80.0
 STARTS_PER_S = 600
 WIDTH = 24
-"""Mean of the widths of a step at that deployment: 39 of settlement, nine of receipts."""
+"""Mean width of a step at that deployment: 39 for settlement steps, nine for receipt steps."""
 
 SECONDS = 5.0
 
@@ -44,9 +45,9 @@
 
 
 def _decisions() -> list[list[Note]]:
-    """Return five seconds of a large fleet, by the periods in which lines are written.
+    """Return the log events of five seconds of a large fleet, grouped by line interval.
 
-    A step is bound within one period, its ends spread over six of them.
+    A step is bound within one interval; its ends are spread over six.
     """
     periods: list[list[Note]] = [[] for _ in range(int(SECONDS / LINES_EVERY_S) + 8)]
     steps = int(STARTS_PER_S * SECONDS / WIDTH)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -140,7 +140,7 @@
     http.result = answer(200, struct.pack(">QQ", 10, 0))
     log.read(10, 700, lambda got: None)
     assert [call.again_s is not None for call in http.calls] == [False, True, True]
-    heartbeat, silent = leadership.HEARTBEAT_S, leadership.SILENT_S
+    heartbeat, silent = leadership.HEARTBEAT_S, leadership.LEADER_TIMEOUT_S
     assert http.calls[1].again_s is not None
     assert heartbeat + 2 * http.calls[1].again_s < silent
 
--- a/tests/test_start_window.py
+++ b/tests/test_start_window.py
@@ -1,10 +1,10 @@
-"""Starts share the leader's link: what it can't carry waits at the leader, not on the link.
+"""Test that starts which the leader's link cannot carry wait at the leader, not on the link.
 
-Seen at a deployment whose instances have links of 1 Mbit/s: three wide jobs at once were 291 bound
-tasks in one second, each start with a payload of some kilobytes. Their orders queued on the link
-for longer than an order may take; of 291 starts 173 had no answer and 94 no connection, all were
-sent again, stopped or released and bound anew, and from then on most work was done twice or late,
-with a leader that used a twentieth of its core. One day earned 0.085 of what it owed.
+On links of 1 Mbit/s three simultaneous wide jobs bound 291 tasks in one second, each start with a
+payload of some kilobytes. The orders queued on the link for longer than their time-out: 173 starts
+had no answer and 94 no connection. All were sent again, stopped, or released and bound again, and
+from then on most work was done twice or late, while the leader used a twentieth of its core. One
+day earned 0.085 of what it owed.
 """
 
 from collections import Counter
@@ -19,7 +19,7 @@
 from spoolcrank.placing import place
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
-from spoolcrank.start_window import FIRST_WINDOW, LATE_S, SHRINK, StartWindow
+from spoolcrank.start_window import FIRST_WINDOW, LATE_S, SHRINK_FACTOR, StartWindow
 from spoolcrank.workflow import JobRecord, Phase, Step, TaskKey, Workflow
 
 LINK_BYTES_PER_S = 125_000.0
@@ -28,32 +28,32 @@
 JOBS = 8
 FLOOD_JOBS = 60
 FLOOD_EVERY_S = 0.25
-"""Between jobs of 12 or 40 tasks: 260 kB of starts a second for a link of 125."""
+"""Interval between jobs of 12 or 40 tasks, in seconds: 260 kB/s of starts for a 125 kB/s link."""
 
 FINISH_S = 14.0
-"""After the last job came, s: from then on no job may stand still."""
+"""Time after the last submission from which no job may be idle, in seconds."""
 
 LONGEST_IDLE_S = 3.0
-"""A job whose turn has come counts as lost once it has had nothing running for so long, s."""
+"""Time without a running task after which a job whose turn has come counts as lost, in seconds."""
 
 SAMPLE_S = 0.25
 
 CUT, OTHER = AvailabilityZone("b"), AvailabilityZone("a")
 AFTER = 1.0 + LATE_S * 1.1
-"""When what was sent at 1.0 is late, monotonic seconds."""
+"""Time at which a start that was sent at 1.0 is late, monotonic seconds."""
 
 JOBS_EVERY_S = 0.125
-"""Between jobs of three tasks: 80 kB of starts a second for a link of 125."""
+"""Interval between jobs of three tasks, in seconds: 80 kB/s of starts for a 125 kB/s link."""
 
 PAUSE_S = 0.6
-"""Without any start while work waits, s: an order's time-out."""
+"""Maximum time without a start while work waits, in seconds: an order's time-out."""
 
 CARRIED_S = JOBS * TASKS * 3400 / LINK_BYTES_PER_S
-"""What the link needs for one start of each task, s."""
+"""Time that the link needs for one start of each task, in seconds."""
 
 
 def _burst(world: World) -> float:
-    """Hand in wide jobs together; returns how long they took, s."""
+    """Submit wide jobs together; return how long they took, in seconds."""
     world.link_bytes_per_s = LINK_BYTES_PER_S
     step = Step(count=TASKS, millicores=1000, memory_mb=10, estimate_ms=600)
     entry = world.instances["entry-1"]
@@ -121,15 +121,15 @@
         window.sent(task, 1, 500, 10.0)
     for task in tasks:
         window.answered(task, 1, LATE_S, 10.2)
-    assert window.limit == FIRST_WINDOW * SHRINK
+    assert window.limit == FIRST_WINDOW * SHRINK_FACTOR
 
 
 def test_starts_to_a_zone_that_is_cut_off_do_not_fill_the_window() -> None:
-    """A fifth of 600 starts a second goes where nobody answers."""
+    """A fifth of 600 starts a second goes to runners that do not answer."""
     window = StartWindow()
     late = TaskKey(JobId("late"), 0, 0, 0)
     window.sent(late, 1, 1600, 9.0)
-    window.answered(late, 1, LATE_S, 9.2)  # From here on the window grows slowly.
+    window.answered(late, 1, LATE_S, 9.2)  # Ends slow start: the window now grows slowly.
     now, held_up = 10.0, 0
     for number in range(600):
         now += 1.0 / 600.0
@@ -144,7 +144,7 @@
 
 
 def _one_waiting_start() -> tuple[Scheduler, TaskKey, RunnerState]:
-    """Return a leader's state with a run whose record is kept and whose start waits."""
+    """Return a leader's state with a run whose record is stored and whose start waits."""
     world = small(instances=1, runners=2)
     leader = world.leader()
     assert leader is not None and leader.dispatcher.scheduler is not None
@@ -158,7 +158,7 @@
     assert batch is not None
     batch_kept(state, batch, world.now)
     order_starts(state, world.now)
-    assert not state.orders and state.starts.wanted
+    assert not state.orders and state.starts.blocked
     state.starts.limit = FIRST_WINDOW
     return state, key, state.runners[state.jobs[JobId("a")].task(key).runner]
 
@@ -173,7 +173,7 @@
 
 
 def test_a_start_that_waits_while_its_runner_falls_silent_goes_elsewhere() -> None:
-    """It was sent all the same, and held the leader's link until it timed out."""
+    """It was sent nevertheless, and occupied the leader's link until it timed out."""
     state, key, runner = _one_waiting_start()
     runner.missed(runner.answered_at)
     order_starts(state, runner.answered_at)
@@ -183,7 +183,7 @@
 
 
 def test_one_more_start_leaves_where_all_on_their_way_are_unanswered() -> None:
-    """With the window full of starts at a zone that was cut off, none left for two seconds."""
+    """With the window full of starts to a partitioned zone, none was sent for two seconds."""
     window = StartWindow(limit=8 * 1024)
     for number in range(2):
         window.sent(TaskKey(JobId("a"), 0, 0, number), 1, 5000, 1.0, CUT)
@@ -196,7 +196,7 @@
 
 
 def test_a_zone_is_silent_only_while_nothing_that_left_since_is_answered_there() -> None:
-    """One runner that does not answer must not keep its neighbours from work."""
+    """One runner that does not answer must not keep others of its zone from getting starts."""
     window = StartWindow()
     keys = [TaskKey(JobId("a"), 0, 0, number) for number in range(4)]
     window.sent(keys[0], 1, 500, 1.0, CUT)
@@ -212,9 +212,9 @@
 
 
 def test_a_zone_that_answers_polls_and_no_start_gets_none_for_a_while() -> None:
-    """Lasting tasks were started over a full link again and again, beside free runners elsewhere.
+    """Starts of lasting tasks were repeated over a full link, though other runners were free.
 
-    Polls got through on the connections that they keep, and made each runner look well again.
+    Polls succeeded on their open connections, so each runner looked healthy again.
     """
     window, key = StartWindow(), TaskKey(JobId("a"), 0, 0, 0)
     for sent_at in (1.0, 5.0):
@@ -226,7 +226,7 @@
 
 
 def test_no_zone_counts_as_silent_while_none_answers() -> None:
-    """A leader that was held up itself has heard nothing of any."""
+    """A leader that was itself delayed has received no answer from any zone."""
     window = StartWindow()
     for number, zone in enumerate((CUT, OTHER)):
         window.sent(TaskKey(JobId("a"), 0, 0, number), 1, 500, 1.0, zone)
@@ -235,7 +235,7 @@
 
 @pytest.mark.parametrize("cut", [16, 24])
 def test_starts_go_on_over_a_small_link_while_a_zone_is_cut_off(cut: int) -> None:
-    """Starts at the silent zone held all places on the link; nothing started anywhere for 2.5 s."""
+    """Starts to the silent zone filled the window, and nothing started anywhere for 2.5 s."""
     world = small(instances=3, runners=48)
     world.link_bytes_per_s = LINK_BYTES_PER_S
     away = list(world.runners.values())[:cut]
@@ -278,9 +278,9 @@
     scheduler, sender = leader.dispatcher.scheduler, leader.dispatcher._sender
     step = Step(count=8, millicores=1000, memory_mb=10, estimate_ms=600)
     world.instances["entry-1"].submit("a" * 16, step)
-    while not scheduler.starts._flying:
+    while not scheduler.starts._in_flight:
         world.run(0.0005)
-    # The leader decides for a whole second while the answers arrive.
+    # A decision takes the leader a whole second while the answers arrive.
     leader.freeze(1.0)
     sender.busy_s += 1.0
     world.run(1.5)
@@ -288,7 +288,7 @@
 
 
 def _longest_idle_s(world: World, tasks: dict[str, int], from_s: float) -> float:
-    """Return for how long any job had nothing running from then on, until all were done, s."""
+    """Return the longest time without running tasks of any job from `from_s` on, in seconds."""
     idle_s = dict.fromkeys(tasks, 0.0)
     longest_s, begun = 0.0, world.now
     while len(world.done) < sum(tasks.values()):
@@ -305,15 +305,13 @@
 
 
 def test_no_job_has_nothing_running_for_seconds_once_no_more_come() -> None:
-    """A batch job had nothing running beside free runners for seconds, at a day's end.
-
-    Seen: LOST once, on a day of 17 instances with links of 1 to 2 Mbit/s. It did not come in ten
-    plays since, but in two of six whose lines were read jobs had nothing running for 5.1 and 8.3 s,
-    as late as 15 s after the last job had come, while their turn had come beside free runners.
-    How it came about: the leader's link took no more starts, and of the jobs that were late by then
-    the oldest came first, each with all of its tasks. What stood last got nothing.
-    Cause: the order of work alone decided who the link was for.
-    Proof: this test, without the mend: 23 s; 40 s after a longer burst.
+    """A batch job had nothing running for seconds, though its turn had come and runners were free.
+
+    It was lost once with 17 instances on links of 1 to 2 Mbit/s; ten later runs lost no job, but in
+    two of six whose logs were read jobs had nothing running for 5.1 and 8.3 s, up to 15 s after the
+    last submission. The link was full, and the order of work alone decided which starts it carried:
+    the oldest late jobs sent all of their tasks first, and the last jobs got nothing. Without the
+    fix this test measures 23 s, and 40 s after a longer burst.
     """
     world = small(instances=3, runners=45)
     world.link_bytes_per_s = LINK_BYTES_PER_S
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -1,15 +1,14 @@
-"""The lead passes on at once while jobs keep coming, and to an instance that can carry it.
-
-Seen: while instances were stopped and started one after the other, a lasting task did not run for
-12 s beside room, and of 61 requests in those seconds none was served in time; no lease went on.
-How it came about: the leader was stopped. A claim is kept only where the log ends at what its
-claimant has read, and who does not lead reads up to 0.3 s late, so jobs that kept coming made most
-claims fail; one that failed was taken for a sign of life of the leader, and its instance waited
-anew. Whoever came through was a small instance as often as a large one, and a small one cannot
-carry so many runners.
-Proved in simulated time, 8 seeds each: with 2 records a second the lead passed on within 1.0 s of
-a planned stop and 1.9 s of a death; with 40 it took up to 10.1 and 13.6 s, and small ones led in 9
-of 16 plays; with 80 it took over 60 s.
+"""Test that leadership passes quickly, and to a large instance, while jobs keep arriving.
+
+During a rolling restart a lasting task did not run for 12 s despite free capacity, none of 61
+requests in that time was served in time, and no lease was extended. The leader had been stopped. A
+claim was stored only if the log ended where its claimant had read to, and followers read up to 0.3
+s late, so arriving jobs made most claims fail. A failed claim also counted as a heartbeat of the
+leader, and its instance waited again. Small instances succeeded as often as large ones, and cannot
+handle so many runners.
+In simulated time, with 8 seeds each: at 2 records a second leadership passed within 1.0 s of a
+planned stop and 1.9 s of a crash; at 40 it took up to 10.1 and 13.6 s, and small instances led in 9
+of 16 runs; at 80 it took over 60 s.
 """
 
 from collections.abc import Callable
@@ -25,17 +24,18 @@
 LITTLE = Step(count=1, millicores=10, memory_mb=1, estimate_ms=600)
 
 PLANNED_S = 1.2
-"""After a planned stop: the read of a follower, the jitter, a few tries."""
+"""Limit after a planned stop, in seconds: a follower's read, the jitter and a few attempts."""
 
 SILENT_LIMIT_S = 2.6
-"""After a death: the silence that counts, the jitter, a few tries."""
+"""Limit after a crash, in seconds: the leader timeout, the jitter and a few attempts."""
 
 SLOW_LIMIT_S = 4.0
-"""After a planned stop with answers of 0.1 s: each step of it takes an answer, most take two."""
+"""Limit after a planned stop with answers of 0.1 s, in seconds: each step of it takes an answer,
+most take two."""
 
 
 def _busy_world(seed: int, jobs_per_s: float = JOBS_PER_S) -> World:
-    """Return a world with a leader, in which every instance keeps taking jobs in."""
+    """Return a world with a leader, in which every instance keeps accepting jobs."""
     world = World(seed)
     for number in range(6):
         world.add_runner(f"10.0.0.{number}:80", millicores=64_000)
@@ -76,7 +76,7 @@
 def _waits(
     stop: Callable[[Instance], None], jobs_per_s: float = JOBS_PER_S, answer_s: float = ANSWER_S
 ) -> list[float]:
-    """Return for how long nobody led after the leader's end, one play for each seed, s."""
+    """Return for each seed how long no instance led after the leader's end, in seconds."""
     waits = []
     for seed in SEEDS:
         world = _busy_world(seed, jobs_per_s)
@@ -104,7 +104,7 @@
 
 
 def test_the_lead_passes_on_while_jobs_keep_coming_and_the_store_is_slow() -> None:
-    """Claims that rested on the log's end were kept after up to 23.8 s with answers of 0.1 s."""
+    """Claims conditional on the log's end took up to 23.8 s to be stored with answers of 0.1 s."""
     waits = _waits(_leave, answer_s=0.1)
     assert max(waits) < SLOW_LIMIT_S, waits
 
--- a/tests/test_succession_faults.py
+++ b/tests/test_succession_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the succession and of a pass in parts that were found by reading, each proved here."""
+"""Test faults of succession and of partial placing passes that were found in code review."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,19 +16,19 @@
 from tests.test_placing_pass import NOW, SERVICE, _add, _bound, _state
 
 PART_S = 0.124
-"""What one part takes on a whole core, with the pause after it, s."""
+"""Time that one part takes on a whole core, including the pause after it, in seconds."""
 
 BESIDE_ROOM_S = 1.0
-"""A lasting task or an urgent job beside room is placed within so long, s."""
+"""Time within which a lasting task or urgent job is placed if capacity is free, in seconds."""
 
 SILENT_LIMIT_S = 2.6
-"""After a death: the silence that counts, the jitter, a few tries."""
+"""Limit after a crash, in seconds: the leader timeout, the jitter and a few attempts."""
 
 Way = Callable[[StorePort, Append, Callable[[Appended], None]], None]
 
 
 def _divert(instance: Instance, wanted: Callable[[Append], bool], way: Way, times: int = 1) -> None:
-    """Let the next appends of one kind of one instance go another way."""
+    """Handle the next `times` matching appends of an instance by `way` instead."""
     dispatcher: Any = instance.dispatcher
     port = dispatcher._log
     straight = port.append
@@ -54,7 +54,7 @@
 
 
 def test_a_leader_that_leads_again_counts_the_leases_of_its_own_last_term() -> None:
-    """A write confirmed late ends the term; its leases count from that term, not from before it."""
+    """A write confirmed late ends the term; leases count from that term, not from before it."""
     world = small(instances=3)
     world.run(20.0)
     world.lasting_jobs.add("ab")
@@ -137,7 +137,7 @@
 
 
 def _parts_until(state: Scheduler, done: Callable[[], bool]) -> float:
-    """Return for how long parts go on until something holds, s; 60 at most."""
+    """Return how long parts run until `done` is true, in seconds; at most 60."""
     now = NOW
     while not done() and now < NOW + 60.0:
         for runner in state.runners.values():
@@ -155,7 +155,7 @@
 
 
 def test_a_lasting_task_that_fails_in_a_long_pass_runs_again_at_once() -> None:
-    """Its pause after a failure is no lack of room, and its step is not over for the pass."""
+    """Its backoff is not a lack of capacity, so the pass must not skip the rest of its step."""
     state = _state(200)
     _add(state, 0, Step(count=1, millicores=1000, memory_mb=10, lasting=True))
     place(state, NOW, 0.0)
--- a/tests/test_takeover_beside_silence.py
+++ b/tests/test_takeover_beside_silence.py
@@ -1,36 +1,37 @@
-"""A leader that takes over while some runners are out of reach of every instance."""
+"""Test a leader that takes over while no instance can reach some of the runners."""
 
 import pytest
 
-from spoolcrank.polling import MOST_ADOPTING
+from spoolcrank.polling import MAX_CONCURRENT_FIRST_POLLS
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import Step
 from tests.fleet_world import Runner, World, small
 
 WORK = Step(count=8, millicores=1000, memory_mb=100, estimate_ms=600)
 WORK_S = 20.0
-"""Longer than a leader may take to hear of a runner that answers, and than its leases last."""
+"""Longer than a leader may take to reach a runner that answers, and than its leases last."""
 
 LAPSED_S = 10.0
-"""After a takeover for so long every lease of the leader before has passed, s."""
+"""Time after a takeover by which every lease of the earlier leader has expired, in seconds."""
 
 JOBS = 16
 
 REACHED_S = 1.2
-"""From a takeover until every runner within reach has answered, s: twice a poll's patience."""
+"""Limit from a takeover until every reachable runner has answered, in seconds; two poll
+time-outs."""
 
 OTHER_ZONE_S = 0.8
-"""The same where all that are silent stand in one zone, s."""
+"""The same limit if all silent runners are in one availability zone, in seconds."""
 
 BACK_S = 1.5
-"""From the end of a cut until every runner behind it has answered, s: the poll on its way, the
-pause after it, and the turns of the others."""
+"""Limit from a partition's end until every runner behind it has answered, in seconds: the poll in
+flight, the pause after it, and the polls of the others."""
 
 
 def _fleet(
     runners: int, out_of_reach: int, lowest: bool = True, in_one_zone: bool = False
 ) -> tuple[World, list[Runner]]:
-    """Return a fleet at work, with the runners that then are cut off, by their ids."""
+    """Return a busy fleet and the runners that are partitioned from it, chosen by their ids."""
     world = small(instances=3, runners=runners)
     for runner in world.runners.values():
         runner.work_s = WORK_S
@@ -50,7 +51,7 @@
 
 
 def _taken_over(world: World) -> Scheduler:
-    """Kill the leader; returns the state of the next one as it begins."""
+    """Kill the leader; return the state of the next leader as its term begins."""
     leader = world.leader()
     assert leader is not None
     leader.kill()
@@ -72,7 +73,7 @@
 def test_silent_runners_keep_no_other_from_being_asked(
     runners: int, silent: int, lowest: bool
 ) -> None:
-    """A takeover beside 32 silent runners asked no other; their tasks ran again elsewhere."""
+    """A takeover with 32 silent runners polled no others, and their tasks ran again elsewhere."""
     world, cut = _fleet(runners, silent, lowest)
     scheduler = _taken_over(world)
     reachable = [one for one in world.runners.values() if one not in cut]
@@ -81,7 +82,7 @@
 
 
 def test_a_zone_cut_off_keeps_no_other_zone_from_being_asked() -> None:
-    """With turns by the list alone, half of a large fleet waited for the other half's silence."""
+    """Polled in list order alone, half of a large fleet waited for the other half to time out."""
     world, cut = _fleet(660, 330, in_one_zone=True)
     scheduler = _taken_over(world)
     reachable = [one for one in world.runners.values() if one not in cut]
@@ -90,7 +91,7 @@
 
 
 def test_runs_beside_silent_runners_go_on_where_they_are() -> None:
-    """Tasks at work on runners within reach were given up as lapsed, and ran again."""
+    """Running tasks on reachable runners were treated as lapsed, and ran again."""
     world, cut = _fleet(80, 40)
     reachable = [one for one in world.runners.values() if one not in cut]
     at_work = {key for one in reachable for key in one.tasks}
@@ -102,7 +103,7 @@
 
 
 def test_runners_back_from_a_cut_are_asked_in_turn_and_soon() -> None:
-    """With turns by the list alone, those at its end waited for those at its head."""
+    """Polled in list order alone, the runners at its end waited for those at its head."""
     world, cut = _fleet(240, 120)
     scheduler = _taken_over(world)
     world.run(5.0)
@@ -112,7 +113,7 @@
 
 
 def test_runners_back_from_a_cut_answer_a_few_at_once() -> None:
-    """All at once would hold up the sign of life of a leader with half a core."""
+    """All answers at once would delay the heartbeat of a leader with half a core."""
     world, cut = _fleet(240, 120)
     scheduler = _taken_over(world)
     world.run(5.0)
@@ -123,4 +124,4 @@
         known = [one for one in scheduler.runners.values() if one.polling and not one.adopted]
         most = max(most, sum(1 for one in known if one.polled_at >= back_at))
     assert _answered(scheduler, cut)
-    assert 0 < most <= MOST_ADOPTING
+    assert 0 < most <= MAX_CONCURRENT_FIRST_POLLS
