--- a/spoolcrank/assignment.py
+++ b/spoolcrank/assignment.py
@@ -1,4 +1,4 @@
-"""Decide which waiting tasks go to our servers now, and which jobs never can."""
+"""Decide which waiting tasks to place on our servers now, and which jobs to refuse."""
 
 from spoolcrank import interference, membership, ownership, placement
 from spoolcrank.epochs import claim_of
@@ -16,34 +16,39 @@
 from spoolcrank.placement import Choice, Obstacle, Room
 from spoolcrank.records import JobRefused, Placed
 from spoolcrank.resources import Resources
-from spoolcrank.state import Core, CoreAction, Note, free_room, usable_room
+from spoolcrank.state import Core, CoreAction, Note, free_capacity, usable_capacity
 
-_PLACE_PASS = 64
-"""Tasks weighed in one pass; a pass runs each tick of 50 ms, beside requests."""
+_MAX_TASKS_PER_PASS = 64
+"""Maximum number of tasks considered in one pass. A pass runs on each tick of 50 ms, alongside
+requests."""
 
-_AGAIN = _PLACE_PASS // 2
-"""Of these, tasks that found no place in the passes before. The others go on where those ended, so
-that each waiting task has its turn, and what comes first is weighed in each pass all the same."""
+_MAX_RETRIED_PER_PASS = _MAX_TASKS_PER_PASS // 2
+"""Maximum number of these tasks that earlier passes could not place. The rest of a pass continues
+where the earlier passes ended, so that every waiting task is considered in turn, while those of
+highest priority are still considered in each pass."""
 
-_OF_WHOLE_JOB = frozenset({Obstacle.NO_ROOM, Obstacle.QUOTA, Obstacle.NO_SERVER})
-"""What stands in the way of one task of a job stands in the way of them all for the pass."""
+_JOB_WIDE_OBSTACLES = frozenset({Obstacle.NO_ROOM, Obstacle.QUOTA, Obstacle.NO_SERVER})
+"""Obstacles that, found for one task of a job, hold for all its tasks for the rest of a pass."""
 
 _REFUSE_AFTER_S = 1.0
 
 
 def refuse_impossible(core: Core, now: float, wall: float) -> list[CoreAction]:
-    """Refuse jobs that fit on no instance, and those whose deadline passed while they wait."""
+    """Refuse jobs that fit on no instance, and jobs whose deadline has passed while they waited."""
     actions: list[CoreAction] = []
-    backends = [one for one in core.members.listed.values() if one.role is Role.BACKEND]
+    backends = [
+        instance for instance in core.members.listed.values() if instance.role is Role.BACKEND
+    ]
     alive = [
-        one.id
-        for one in core.members.listed.values()
-        if one.role is Role.ENTRY and membership.is_alive(core.members, one.id, core.policy, now)
+        instance.id
+        for instance in core.members.listed.values()
+        if instance.role is Role.ENTRY
+        and membership.is_alive(core.members, instance.id, core.policy, now)
     ]
     for task in core.ledger.waiting():
-        seen = core.first_seen.setdefault(task.id, now)
+        first_seen_at = core.first_seen.setdefault(task.id, now)
         job = core.ledger.jobs[task.job]
-        if now - seen < _REFUSE_AFTER_S or job.id in core.refusals_sent:
+        if now - first_seen_at < _REFUSE_AFTER_S or job.id in core.refusals_sent:
             continue
         if ownership.preferred(job.id, alive) != core.members.me:
             continue
@@ -56,53 +61,53 @@
     return actions
 
 
-def _impossible(deadline_s: float | None, at: float, wall: float) -> str:
-    if deadline_s is not None and wall - at > deadline_s:
-        return f"its deadline of {deadline_s:g} s passed before it found a place"
+def _impossible(deadline_s: float | None, accepted_at: float, wall: float) -> str:
+    if deadline_s is not None and wall - accepted_at > deadline_s:
+        return f"its deadline of {deadline_s:g} s passed before it could be placed"
     return ""
 
 
 def place(core: Core, now: float, wall: float) -> list[CoreAction]:
-    """Give waiting tasks to our servers, as far as it is our turn for them."""
+    """Place waiting tasks on our servers where it is our turn to place them."""
     ledger = core.ledger
     if not ledger.pending or not core.owned:
         return []
-    rooms = {room.server: room for room in _rooms(core, now)}
+    capacities = {capacity.server: capacity for capacity in _server_capacities(core, now)}
     placing = {task for owned in core.owned.values() for task in owned.placing}
     queue = [task for task in ledger.waiting() if task.id not in placing]
     queue.sort(key=lambda task: placement.priority(task, ledger.spec(task), core.policy, wall))
-    others = _other_rooms(core, now)
+    peers = _peer_capacities(core, now)
     actions: list[CoreAction] = []
     blocked: dict[JobId, Obstacle] = {}
-    weighed = again = 0
+    considered = retried = 0
     closed = _closed_servers(core, wall)
     for task in queue:
         obstacle = Obstacle.BACKOFF if task.not_before > wall else blocked.get(task.job)
         if obstacle is not None:
-            # Tasks that are surely not placed now must not keep those behind them from their turn.
+            # A task that cannot be placed now must not use up the pass for the tasks behind it.
             core.obstacles[task.id] = obstacle
             continue
-        if weighed == _PLACE_PASS:
+        if considered == _MAX_TASKS_PER_PASS:
             break
         if task.id in core.passed_over:
-            if again == _AGAIN:
+            if retried == _MAX_RETRIED_PER_PASS:
                 continue
-            again += 1
-        weighed += 1
-        open_to_it = _open_to(core, task, list(rooms.values()), closed, wall)
-        choice = _place_one(core, task, open_to_it, others, now)
+            retried += 1
+        considered += 1
+        candidates = _candidates(core, task, list(capacities.values()), closed, wall)
+        choice = _place_task(core, task, candidates, peers, now)
         if choice.server is None:
             core.passed_over.add(task.id)
             if choice.obstacle is not None:
                 core.obstacles[task.id] = choice.obstacle
-            if choice.obstacle in _OF_WHOLE_JOB:
+            if choice.obstacle in _JOB_WIDE_OBSTACLES:
                 blocked[task.job] = choice.obstacle
             continue
         core.obstacles.pop(task.id, None)
         record = _record_place(core, task, choice.server, now)
-        room = rooms[choice.server]
-        left = room.free.minus(record.size.resources)
-        rooms[choice.server] = room._replace(free=left, probe=False)
+        capacity = capacities[choice.server]
+        left = capacity.free.minus(record.size.resources)
+        capacities[choice.server] = capacity._replace(free=left, probe=False)
         if task.crashes:
             closed.add(choice.server)
         actions.append(Append(record))
@@ -112,32 +117,32 @@
 
 
 def _closed_servers(core: Core, wall: float) -> set[InstanceId]:
-    """Return our servers where a task that may crash them began lately, or is about to."""
+    """Return our servers where a task suspected of crashing servers has just started or will."""
     ledger = core.ledger
     closed = set()
     for owned in core.owned.values():
-        about = any(ledger.tasks[task].crashes for task in owned.placing)
-        if about or any(
+        starting = any(ledger.tasks[task].crashes for task in owned.placing)
+        if starting or any(
             task.crashes and wall - task.since < CLOSED_S for task in ledger.placed_at(owned.server)
         ):
             closed.add(owned.server)
     return closed
 
 
-def _open_to(
-    core: Core, task: Task, rooms: list[Room], closed: set[InstanceId], wall: float
+def _candidates(
+    core: Core, task: Task, capacities: list[Room], closed: set[InstanceId], wall: float
 ) -> list[Room]:
-    """Return the rooms that a task may have: one under which servers crashed has few beside it.
+    """Return the servers on which a task may be placed, given the crashes it was involved in.
 
-    After two crashes it goes only where nothing began lately, so that the next one proves
-    something, and where the least runs.
+    After two crashes, a task goes only to servers where nothing has started recently, so that
+    another crash is evidence against it, and of these to the ones with the fewest tasks.
     """
-    free = [room for room in rooms if room.server not in closed]
+    free = [capacity for capacity in capacities if capacity.server not in closed]
     if len(task.crashes) < APART_AFTER:
         return free
-    quiet = [room for room in free if _is_quiet(core, room.server, wall)]
-    fewest = min((len(core.ledger.placed_at(room.server)) for room in quiet), default=0)
-    return [room for room in quiet if len(core.ledger.placed_at(room.server)) == fewest]
+    quiet = [capacity for capacity in free if _is_quiet(core, capacity.server, wall)]
+    fewest = min((len(core.ledger.placed_at(capacity.server)) for capacity in quiet), default=0)
+    return [capacity for capacity in quiet if len(core.ledger.placed_at(capacity.server)) == fewest]
 
 
 def _is_quiet(core: Core, server: InstanceId, wall: float) -> bool:
@@ -146,46 +151,57 @@
     return all(wall - task.since >= SETTLED_S for task in core.ledger.placed_at(server))
 
 
-def _place_one(
+def _place_task(
     core: Core,
     task: Task,
-    rooms: list[Room],
-    others: list[tuple[InstanceId, Resources]],
+    capacities: list[Room],
+    peers: list[tuple[InstanceId, Resources]],
     now: float,
 ) -> Choice:
     spec = core.ledger.spec(task)
     size = size_for(core, task)
-    held = core.ledger.by_team.get(spec.team, 0.0)
-    if not placement.within_quota(spec.team, size, held, core.policy):
+    team_processors = core.ledger.by_team.get(spec.team, 0.0)
+    if not placement.within_quota(spec.team, size, team_processors, core.policy):
         return Choice(None, Obstacle.QUOTA)
     racks = _racks_used(core, task) if spec.job_class is not JobClass.BATCH else {}
     waited = now - core.first_seen.setdefault(task.id, now)
-    patient = waited < core.policy.interference.patience_s
+    may_wait = waited < core.policy.interference.patience_s
     choice = placement.choose(
-        size, spec, task.failed_on, rooms, racks, _loudness_of(core, now), patient, core.policy
+        size,
+        spec,
+        task.failed_on,
+        capacities,
+        racks,
+        _noisiness_of(core, now),
+        may_wait,
+        core.policy,
     )
     if choice.server is None:
         return choice
-    mine = [(core.members.me, room.free) for room in rooms]
-    order = placement.first_owners(task.id, size, [*mine, *others])
+    own = [(core.members.me, capacity.free) for capacity in capacities]
+    order = placement.first_owners(task.id, size, [*own, *peers])
     if not placement.may_take(order, core.members.me, waited, core.policy):
         return Choice(None, Obstacle.OTHER_OWNER_FIRST)
     return choice
 
 
 def size_for(core: Core, task: Task) -> Resources:
-    """Return what is allocated for a task's next attempt.
+    """Return the size to allocate for a task's next attempt.
 
-    What the class needs is learnt over all its jobs. Where that fits on no server the declared
-    size counts, by which the job was accepted: it would wait for ever.
+    The needs of a class are learned over all its jobs. If the learned size fits on no server, use
+    the declared size, by which the job was accepted; otherwise the task would wait forever.
     """
     spec = core.ledger.spec(task)
     declared = spec.size.resources
     learnt = core.learnt.size_for(spec.task_class, declared, core.policy)
     if learnt.fits_in(declared):
         return learnt
-    backends = (one for one in core.members.listed.values() if one.role is Role.BACKEND)
-    if any(learnt.fits_in(placement.open_to(one, spec, core.policy)) for one in backends):
+    backends = (
+        instance for instance in core.members.listed.values() if instance.role is Role.BACKEND
+    )
+    if any(
+        learnt.fits_in(placement.max_capacity(instance, spec, core.policy)) for instance in backends
+    ):
         return learnt
     return declared
 
@@ -209,8 +225,8 @@
     return record
 
 
-def _rooms(core: Core, now: float) -> list[Room]:
-    rooms = []
+def _server_capacities(core: Core, now: float) -> list[Room]:
+    capacities = []
     for owned in core.owned.values():
         instance = core.members.listed.get(owned.server)
         if instance is None or owned.phase is not Phase.READY:
@@ -219,17 +235,17 @@
             continue
         if ownership.drained(core.members, core.ledger, owned.server):
             continue
-        rooms.append(_room(core, owned, instance, now))
-    return rooms
+        capacities.append(_server_capacity(core, owned, instance, now))
+    return capacities
 
 
-def _room(core: Core, owned: OwnedServer, instance: Instance, now: float) -> Room:
+def _server_capacity(core: Core, owned: OwnedServer, instance: Instance, now: float) -> Room:
     return Room(
         server=owned.server,
         rack=instance.rack,
         kind=instance.kind,
-        free=free_room(core, owned),
-        whole=usable_room(core, owned, instance),
+        free=free_capacity(core, owned),
+        whole=usable_capacity(core, owned, instance),
         suspect=core.learnt.is_suspect(owned.server),
         probe=core.learnt.may_probe(owned.server, now),
         batch=core.learnt.level(owned.server) is interference.Level.OPEN,
@@ -237,15 +253,17 @@
     )
 
 
-def _other_rooms(core: Core, now: float) -> list[tuple[InstanceId, Resources]]:
-    rooms = []
+def _peer_capacities(core: Core, now: float) -> list[tuple[InstanceId, Resources]]:
+    capacities = []
     for peer in core.members.peers.values():
         if not membership.is_alive(core.members, peer.beat.sender, core.policy, now):
             continue
         if peer.beat.leaving or not peer.beat.log_ok:
             continue
-        rooms += [(peer.beat.sender, one.free) for one in peer.beat.servers if one.ready]
-    return rooms
+        capacities += [
+            (peer.beat.sender, status.free) for status in peer.beat.servers if status.ready
+        ]
+    return capacities
 
 
 def _racks_used(core: Core, task: Task) -> dict[Rack, int]:
@@ -259,21 +277,21 @@
 
 
 def _is_sheltered(core: Core, instance: Instance) -> bool:
-    """Tell whether a server is one of those that its zone keeps calm for its service."""
+    """Return whether a server is among those that its zone shelters from noisy work."""
     if not instance.service or not core.policy.interference.enabled:
         return False
     peers = [
-        one.id
-        for one in membership.servers_of_zone(core.members)
-        if one.service == instance.service and not one.leaving
+        server.id
+        for server in membership.servers_of_zone(core.members)
+        if server.service == instance.service and not server.leaving
     ]
     wanted = placement.sheltered_count(len(peers), core.policy)
-    order = sorted(peers, key=lambda one: ownership.weight("sheltered", one), reverse=True)
+    order = sorted(peers, key=lambda server: ownership.weight("sheltered", server), reverse=True)
     return instance.id in order[:wanted]
 
 
-def _loudness_of(core: Core, now: float) -> placement.LoudnessOf:
-    def loudness(server: InstanceId, task_class: TaskClass) -> float | None:
+def _noisiness_of(core: Core, now: float) -> placement.NoisinessOf:
+    def noisiness(server: InstanceId, task_class: TaskClass) -> float | None:
         instance = core.members.listed.get(server)
         if instance is None or not instance.service:
             return 0.0
@@ -281,11 +299,11 @@
             instance.service, task_class, instance.kind, core.policy, now
         )
 
-    return loudness
+    return noisiness
 
 
 def forget_ended(core: Core) -> None:
-    """Drop notes about tasks that wait no more."""
+    """Drop records about tasks that no longer wait and jobs that no longer exist."""
     for task in [task for task in core.obstacles if task not in core.ledger.pending]:
         del core.obstacles[task]
     for task in [task for task in core.first_seen if task not in core.ledger.pending]:
--- a/spoolcrank/core.py
+++ b/spoolcrank/core.py
@@ -1,7 +1,7 @@
-"""Compose the decisions of one entry instance: owning, adopting, placing, recovering.
+"""Combine the decisions of one entry instance: ownership, adoption, placement, recovery.
 
-The core holds state and does no I/O: it takes records, reports, heartbeats and time, and
-returns actions. The same code runs in the daemon, in replay and in the state machines.
+The core holds state and does no I/O: it receives records, reports, heartbeats and the time, and
+returns actions. The daemon, the replay and the state-machine tests run the same code.
 """
 
 from functools import partial
@@ -26,41 +26,41 @@
 from spoolcrank.resources import Resources
 from spoolcrank.server_commands import evict, throttle
 from spoolcrank.slot_use import all_busy, seen
-from spoolcrank.state import Core, CoreAction, Note, Yielded, can_act
+from spoolcrank.state import Core, CoreAction, Note, Relinquished, can_act
 from spoolcrank.worker import Refused, Report
 
-_PAUSE_S = 1.0
-_DRAIN_EVICTIONS = 4
+_MAX_TICK_GAP_S = 1.0
+_MAX_DRAIN_EVICTIONS = 4
 
 
 def on_heartbeat(core: Core, beat: Heartbeat, now: float) -> bool:
-    """Take a peer's heartbeat."""
+    """Handle a peer's heartbeat; return False for an outdated or repeated one."""
     for status in beat.servers:
-        core.held_elsewhere[status.server] = now
+        core.owned_elsewhere_at[status.server] = now
     return membership.on_heartbeat(core.members, beat, now)
 
 
 def on_log_read(core: Core, asked_at: float) -> None:
-    """Learn that the log had been read to its end by a request sent at `asked_at`."""
+    """Record that a request sent at `asked_at` read the log to its end."""
     core.log_ok_at = max(core.log_ok_at, asked_at)
 
 
 def on_log_failed(core: Core, now: float) -> None:
-    """Learn that the log did not answer."""
+    """Record that the log did not answer."""
     core.log_failed_at = now
 
 
 def on_entry(core: Core, entry: Entry, now: float) -> list[CoreAction]:
-    """Apply one record of the log and act on it."""
+    """Apply one record of the log and return the actions that follow from it."""
     record = entry.envelope.record
-    before = core.ledger.claims.get(record.server) if isinstance(record, Claimed) else None
+    replaced = core.ledger.claims.get(record.server) if isinstance(record, Claimed) else None
     took_effect = apply(core.ledger, entry.offset, entry.envelope)
     if isinstance(record, Placed):
         return _on_placed(core, record, took_effect, now)
     if isinstance(record, Ended) and took_effect:
         core.learnt.on_end(record.server, record.how)
     if isinstance(record, Claimed) and took_effect:
-        return tenure.on_claimed(core, record, before, now)
+        return tenure.on_claimed(core, record, replaced, now)
     return []
 
 
@@ -77,10 +77,10 @@
 
 
 def on_not_appended(core: Core, record: AnyRecord) -> None:
-    """Learn that a record will never be on the log, as too much waited for it.
+    """Drop a placement that will never reach the log because the append queue was full.
 
-    What else is appended is decided again by itself; a placement would keep its room, and its
-    task, for good.
+    All other records are decided again on a later tick. A placement that is not dropped would
+    hold its capacity, and keep its task from being placed, permanently.
     """
     if isinstance(record, Placed):
         owned = core.owned.get(record.server)
@@ -91,7 +91,7 @@
 def on_report(
     core: Core, server: InstanceId, report: Report, sent_at: float, now: float
 ) -> list[CoreAction]:
-    """Take a server's report."""
+    """Handle a server's report, unless it is of another epoch or we may not act."""
     owned = core.owned.get(server)
     if owned is None or report.epoch != owned.epoch or not can_act(core, now):
         return []
@@ -101,37 +101,37 @@
 
 
 def _allocated(core: Core, task: TaskId) -> Resources | None:
-    held = core.ledger.tasks.get(task)
-    return held.size.resources if held is not None else None
+    known_task = core.ledger.tasks.get(task)
+    return known_task.size.resources if known_task is not None else None
 
 
 def on_refused(core: Core, server: InstanceId, refused: Refused, now: float) -> list[CoreAction]:
-    """Take a server's no."""
+    """Handle a refused command; give up ownership if the server obeys another owner."""
     owned = core.owned.get(server)
     if owned is None or not servers.on_refused(owned, refused):
         return []
     del core.owned[server]
-    core.yielded[server] = Yielded(refused.epoch, now)
+    core.relinquished[server] = Relinquished(refused.epoch, now)
     return [Note("ownership.superseded", {"server": server, "by": refused.owner})]
 
 
 def on_silence(core: Core, server: InstanceId, now: float) -> None:
-    """Learn that a server did not answer a command."""
+    """Record that a server did not answer a command."""
     owned = core.owned.get(server)
     if owned is not None:
         servers.on_silence(owned, core.policy, now)
 
 
 def tick(core: Core, now: float, wall: float) -> list[CoreAction]:
-    """Do everything whose time has come.
+    """Run all periodic decisions that are due and return their actions.
 
     Args:
-        core: changed in place.
-        now: the monotonic clock, in seconds.
-        wall: the time of day in Unix seconds, as writers put it into records.
+        core: The state, which is changed in place.
+        now: The monotonic clock, in seconds.
+        wall: The time of day in Unix seconds, as writers put it into records.
     """
-    actions = _watch_pause(core, now)
-    _watch_runners(core, now)
+    actions = _update_acting(core, now)
+    _update_runner_use(core, now)
     if not can_act(core, now):
         return actions
     if not core.stopping:
@@ -147,8 +147,8 @@
     return actions
 
 
-def _watch_runners(core: Core, now: float) -> None:
-    """Take note of how many requests are at each runner of ours."""
+def _update_runner_use(core: Core, now: float) -> None:
+    """Record how many requests each of our runners is serving."""
     for owned in core.owned.values():
         instance = core.members.listed.get(owned.server)
         if instance is None or not instance.service:
@@ -157,23 +157,23 @@
         owned.runner_use = seen(use, core.busy_slots(owned.server), now)
 
 
-def _watch_pause(core: Core, now: float) -> list[CoreAction]:
-    paused = now - core.ticked_at > _PAUSE_S
+def _update_acting(core: Core, now: float) -> list[CoreAction]:
+    paused = now - core.ticked_at > _MAX_TICK_GAP_S
     core.ticked_at = now
     witnessed = membership.may_act(core.members, core.log_ok_at, core.policy, now)
     if not paused and witnessed and membership.settled(core.members, core.policy, now):
         if not core.acting:
             core.acting = True
-            _adopt_all_again(core, now)
+            _readopt_all(core, now)
             return [Note("acting.begun", {})]
         return []
-    was = core.acting
+    was_acting = core.acting
     core.acting = False
-    return [Note("acting.ended", {"paused": str(paused)})] if was else []
+    return [Note("acting.ended", {"paused": str(paused)})] if was_acting else []
 
 
-def _adopt_all_again(core: Core, now: float) -> None:
-    """Forget what we knew of our servers: while we did not act, others may have."""
+def _readopt_all(core: Core, now: float) -> None:
+    """Adopt all our servers again: others may have commanded them while we did not act."""
     for owned in core.owned.values():
         owned.contacted_at = None
         owned.claimed_at = now
@@ -187,24 +187,24 @@
     actions: list[CoreAction] = []
     if owned.phase is Phase.READY:
         if ownership.drained(core.members, core.ledger, owned.server):
-            actions += _empty(owned, core.policy, now)
+            actions += _evict_for_drain(owned, core.policy, now)
         else:
             if core.learnt.level(owned.server) is interference.Level.OPEN:
                 actions += servers.resume_here(owned, core.ledger, situation, core.policy, now)
-            actions += _give_way(core, owned, now)
+            actions += _apply_mitigation(core, owned, now)
         return actions
     if not situation.log_ok:
         return []
     contacted = owned.contacted_at is not None
-    elsewhere = core.held_elsewhere.get(owned.server, float("-inf"))
-    since = max(owned.last_renew_at, owned.claimed_at, elsewhere)
-    if ownership.may_declare_lost(core.members, contacted, since, core.policy, now):
-        actions += servers.give_up(owned, core.ledger, now)
+    elsewhere_at = core.owned_elsewhere_at.get(owned.server, float("-inf"))
+    last_renewed_at = max(owned.last_renew_at, owned.claimed_at, elsewhere_at)
+    if ownership.may_declare_lost(core.members, contacted, last_renewed_at, core.policy, now):
+        actions += servers.record_all_lost(owned, core.ledger, now)
     return actions
 
 
-def _give_way(core: Core, owned: OwnedServer, now: float) -> list[CoreAction]:
-    """Carry out the next step of the interference ladder."""
+def _apply_mitigation(core: Core, owned: OwnedServer, now: float) -> list[CoreAction]:
+    """Return the commands for the next interference mitigation step of one server."""
     instance = core.members.listed.get(owned.server)
     if instance is None or owned.report is None or owned.waiting or not instance.service:
         return []
@@ -219,8 +219,8 @@
         core.policy,
         now,
     )
-    for one in steps:
-        match one:
+    for mitigation_step in steps:
+        match mitigation_step:
             case interference.ThrottleTask(task, attempt, share):
                 actions.append(throttle(owned, task, attempt, share, core.policy, now))
                 name = "interference.throttled" if share < 1 else "interference.released"
@@ -231,24 +231,25 @@
     return actions
 
 
-def _empty(owned: OwnedServer, policy: Policy, now: float) -> list[Action]:
-    """Move work off a server that is leaving, a few tasks at a time."""
+def _evict_for_drain(owned: OwnedServer, policy: Policy, now: float) -> list[Action]:
+    """Evict the tasks of a server that is being drained, a few at a time."""
     if owned.waiting or owned.report is None:
         return []
-    moving = [run for run in owned.report.running if run.task not in owned.suspended]
+    to_evict = [run for run in owned.report.running if run.task not in owned.suspended]
     actions: list[Action] = []
-    for run in moving[:_DRAIN_EVICTIONS]:
+    for run in to_evict[:_MAX_DRAIN_EVICTIONS]:
         owned.suspended.add(run.task)
         actions.append(evict(owned, run.task, run.attempt, policy, now))
     return actions
 
 
 def replace_ledger(core: Core, ledger: Ledger, now: float) -> list[CoreAction]:
-    """Take a peer's or a snapshot's ledger, which has to be ahead of ours.
+    """Replace our ledger by one of a peer or a snapshot, which must be ahead of ours.
 
-    The records in between are never read one by one, so what each would have changed besides the
-    ledger is settled here. Left out, a claim of our own leaves a server that is ours by the log
-    and that nobody commands, and a placement keeps its room for good.
+    The records in between are never read one by one, so this function also makes the changes
+    that they would have made outside the ledger. Otherwise a claim of our own among them would
+    leave a server that is ours by the log but that no instance commands, and a placement among
+    them would hold its capacity permanently.
     """
     core.ledger = ledger
     for owned in core.owned.values():
@@ -262,7 +263,7 @@
 
 
 def _is_open(ledger: Ledger, record: Placed) -> bool:
-    """Tell whether a placement of ours may still take effect, as it was not read yet."""
+    """Return whether a placement of ours is not yet in the ledger and may still take effect."""
     task = ledger.tasks.get(record.task)
     if task is None or task.state is not TaskState.PENDING:
         return False
--- a/spoolcrank/interference.py
+++ b/spoolcrank/interference.py
@@ -1,8 +1,9 @@
-"""Learn what tasks use and whom they slow, and let batch work give way to services.
+"""Learn what resources tasks use and which services they slow down.
 
-Usage reports come late, so the latency of the runners, which their owner sees at once,
-drives the decisions. A server whose latency is above its calm level steps down a ladder:
-no more placing, throttle, evict; calm for a while, it grows back step by step.
+Usage reports arrive late, so decisions are driven by the latency of the runners, which their
+owner measures itself without delay. A server whose latency is above its calm level goes through
+the mitigation levels: no new batch work, throttling, eviction. After a calm period these measures
+are undone step by step.
 """
 
 from collections.abc import Callable
@@ -15,24 +16,24 @@
 from spoolcrank.resources import Resources
 from spoolcrank.worker import Usage
 
-_ENOUGH_REPORTS = 3
-_HEADROOM = 1.1
-"""Given above the largest use that was seen of a task class."""
+_MIN_REPORTS = 3
+_HEADROOM_FACTOR = 1.1
+"""Ratio of an allocation to the largest use reported for a task class."""
 
-_PROBE_EVERY_S = 10.0
-_FAILURES_TO_JUDGE = 3
-_PEER_FACTOR = 3.0
-_FAST = 0.2
-_SLOW = 0.02
-_ENOUGH_SAMPLES = 8
-_CALM_SPREAD = 0.05
-_SLOW_RATIO = 1.6
-_SLOW_HALF_S = 0.7
-_SLOW_MEAN_S = 1.01
+_PROBE_INTERVAL_S = 10.0
+_MIN_FAILURES = 3
+_SUSPECT_FAILURE_RATIO = 3.0
+_RECENT_WEIGHT = 0.2
+_CALM_WEIGHT = 0.02
+_MIN_SAMPLES = 8
+_CALM_RISE_FACTOR = 0.05
+_SLOW_REQUEST_RATIO = 1.6
+_SLOW_HALF_LIFE_S = 0.7
+_SLOW_MEAN_LIFE_S = 1.01
 
 
 class Level(IntEnum):
-    """How far batch work on a server has given way."""
+    """Mitigation level of a server: how far its batch work is restricted."""
 
     OPEN = 0
     NO_PLACING = 1
@@ -41,7 +42,7 @@
 
 
 class Pair(NamedTuple):
-    """What an estimate of slowdown is about."""
+    """Key of a slowdown estimate: a service, a task class and a kind of server."""
 
     service: ServiceName
     task_class: TaskClass
@@ -49,7 +50,7 @@
 
 
 class Told(NamedTuple):
-    """A learnt pair as one instance tells it to another."""
+    """A slowdown estimate as one instance sends it to another."""
 
     service: ServiceName
     task_class: TaskClass
@@ -59,7 +60,7 @@
 
 
 class ToldUse(NamedTuple):
-    """What a task class needs as one instance tells it to another."""
+    """The resource needs of a task class as one instance sends them to another."""
 
     task_class: TaskClass
     processors: float
@@ -68,21 +69,21 @@
 
 
 class Lesson(NamedTuple):
-    """Everything that one instance tells another of what it learnt."""
+    """Everything that one instance sends to another from its interference model."""
 
     pairs: list[Told]
     uses: list[ToldUse]
 
 
 class Estimate(NamedTuple):
-    """A learnt slowdown of one task and when it was last confirmed."""
+    """The learned slowdown caused by one task, and when it was last confirmed."""
 
     slowdown: float
     at: float
 
 
 class ThrottleTask(NamedTuple):
-    """Let a task run at a share of its speed."""
+    """A mitigation step: run a task at a share of its full speed."""
 
     task: TaskId
     attempt: int
@@ -90,7 +91,7 @@
 
 
 class EvictTask(NamedTuple):
-    """Checkpoint a task and stop it."""
+    """A mitigation step: checkpoint a task and stop it."""
 
     task: TaskId
     attempt: int
@@ -101,7 +102,7 @@
 
 @dataclass
 class ClassUse:
-    """What a task of a class needs, by the largest use that reports showed."""
+    """The resource needs of one task of a class, from the largest use in reports."""
 
     processors: float = 0.0
     memory_mb: float = 0.0
@@ -110,86 +111,91 @@
 
 @dataclass
 class Outcomes:
-    """How attempts on a server ended, with older ones fading."""
+    """Counts of how attempts on a server ended; older ends count less."""
 
     failed: float = 0.0
     ended: float = 0.0
 
 
 class Trial(NamedTuple):
-    """What the latency of a runner was when its server's batch work was first slowed.
+    """The latency of a runner when its server's batch work was first throttled.
 
     Attributes:
-        fast_s: the present latency then.
-        calm_s: the calm one then.
-        stepped_at: when work was last slowed, monotonic seconds.
-        samples: requests that had been measured by then.
+        recent_latency_s: The recent latency at that time.
+        calm_latency_s: The calm latency at that time.
+        stepped_at: When work was last throttled, in monotonic seconds.
+        samples: How many requests had been measured when work was last throttled.
     """
 
-    fast_s: float
-    calm_s: float
+    recent_latency_s: float
+    calm_latency_s: float
     stepped_at: float
     samples: int
 
 
 class Excuse(NamedTuple):
-    """Batch work is not the cause of a latency, until a monotonic time."""
+    """Exemption of batch work that does not cause a latency, until a monotonic time."""
 
-    fast_s: float
+    recent_latency_s: float
     until: float
 
 
 @dataclass
 class Watch:
-    """The latency of one runner and what was done about it."""
+    """The latency of one runner and the mitigation applied to its server."""
 
-    fast_s: float = 0.0
-    calm_s: float = 0.0
+    recent_latency_s: float = 0.0
+    calm_latency_s: float = 0.0
     samples: int = 0
-    fresh: int = 0
-    cleared_at: float = float("-inf")
+    samples_since_lowering: int = 0
+    lowered_at: float = float("-inf")
     level: Level = Level.OPEN
     stepped_at: float = float("-inf")
     calm_since: float | None = None
-    blamed_at: float = float("-inf")
-    hot_since: float | None = None
-    slow: float = 0.0
-    slow_at: float = 0.0
+    attributed_at: float = float("-inf")
+    slow_since: float | None = None
+    slow_requests: float = 0.0
+    slow_updated_at: float = 0.0
     trial: Trial | None = None
-    excuse: Excuse | None = None
+    exemption: Excuse | None = None
 
     def slow_rate(self, now: float) -> float:
-        """Return how many slow requests a second there were of late."""
-        return float(self.slow * 0.5 ** ((now - self.slow_at) / _SLOW_HALF_S)) / _SLOW_MEAN_S
+        """Return the recent rate of slow requests, per second."""
+        return (
+            float(self.slow_requests * 0.5 ** ((now - self.slow_updated_at) / _SLOW_HALF_LIFE_S))
+            / _SLOW_MEAN_LIFE_S
+        )
 
     @property
     def ratio(self) -> float:
-        """Return the present latency over the calm one; 1 while too little is known."""
-        if self.samples < _ENOUGH_SAMPLES or self.calm_s <= 0:
+        """Return the ratio of recent to calm latency; 1 while there are too few samples."""
+        if self.samples < _MIN_SAMPLES or self.calm_latency_s <= 0:
             return 1.0
-        return self.fast_s / self.calm_s
+        return self.recent_latency_s / self.calm_latency_s
 
 
 @dataclass
 class Learnt:
-    """What an owner has learnt from reports and latencies."""
+    """What an owner has learned from usage reports, latencies and ends of attempts."""
 
     uses: dict[TaskClass, ClassUse] = field(default_factory=dict)
     pairs: dict[Pair, Estimate] = field(default_factory=dict)
-    watches: dict[InstanceId, Watch] = field(default_factory=dict)
+    monitors: dict[InstanceId, Watch] = field(default_factory=dict)
     outcomes: dict[InstanceId, Outcomes] = field(default_factory=dict)
     probed_at: dict[InstanceId, float] = field(default_factory=dict)
     evicted_at: list[float] = field(default_factory=list)
 
-    def on_usage(self, usage: list[Usage], given: Callable[[TaskId], Resources | None]) -> None:
-        """Take a server's late usage report.
+    def on_usage(
+        self, usage: list[Usage], allocation_of: Callable[[TaskId], Resources | None]
+    ) -> None:
+        """Record a server's usage report, which arrives late.
 
         Args:
-            usage: of single tasks.
-            given: what a task was allocated, None where that is not known any more.
+            usage: The use of individual tasks.
+            allocation_of: Returns what a task was allocated, None if that is no longer known.
         """
         for item in usage:
-            allocated = given(item.task)
+            allocated = allocation_of(item.task)
             if allocated is None:
                 continue
             use = self.uses.setdefault(item.task_class, ClassUse())
@@ -199,25 +205,34 @@
             use.reports += 1
 
     def on_latency(self, server: InstanceId, latency_s: float, now: float) -> None:
-        """Take the latency of one request at a runner of ours."""
-        watch = self.watches.setdefault(server, Watch(latency_s, latency_s))
-        watch.samples += 1
-        watch.fresh += 1
-        watch.fast_s += _FAST * (latency_s - watch.fast_s)
-        if watch.fast_s < watch.calm_s:
-            watch.calm_s += _FAST * (watch.fast_s - watch.calm_s)
+        """Record the latency of one request at one of our runners."""
+        monitor = self.monitors.setdefault(server, Watch(latency_s, latency_s))
+        monitor.samples += 1
+        monitor.samples_since_lowering += 1
+        monitor.recent_latency_s += _RECENT_WEIGHT * (latency_s - monitor.recent_latency_s)
+        if monitor.recent_latency_s < monitor.calm_latency_s:
+            monitor.calm_latency_s += _RECENT_WEIGHT * (
+                monitor.recent_latency_s - monitor.calm_latency_s
+            )
         else:
-            watch.calm_s += _SLOW * _CALM_SPREAD * (watch.fast_s - watch.calm_s)
-        if latency_s > _SLOW_RATIO * watch.calm_s:
-            watch.slow = watch.slow * 0.5 ** ((now - watch.slow_at) / _SLOW_HALF_S) + 1.0
-            watch.slow_at = now
+            monitor.calm_latency_s += (
+                _CALM_WEIGHT
+                * _CALM_RISE_FACTOR
+                * (monitor.recent_latency_s - monitor.calm_latency_s)
+            )
+        if latency_s > _SLOW_REQUEST_RATIO * monitor.calm_latency_s:
+            monitor.slow_requests = (
+                monitor.slow_requests * 0.5 ** ((now - monitor.slow_updated_at) / _SLOW_HALF_LIFE_S)
+                + 1.0
+            )
+            monitor.slow_updated_at = now
 
     def size_for(self, task_class: TaskClass, declared: Resources, policy: Policy) -> Resources:
-        """Return a declared size corrected by what the class really used."""
+        """Return a declared size, corrected by the use that was reported for the class."""
         use = self.uses.get(task_class)
         if not policy.placement.learn_sizes:
             return declared
-        if use is None or use.reports < _ENOUGH_REPORTS:
+        if use is None or use.reports < _MIN_REPORTS:
             factor = policy.placement.unknown_factor
             return Resources(
                 declared.processors * factor, declared.memory_mb * factor, declared.accelerators
@@ -231,7 +246,7 @@
     def slowdown(
         self, service: ServiceName, task_class: TaskClass, kind: str, policy: Policy, now: float
     ) -> float:
-        """Return the slowdown that one task of a class brings to a service, faded by age."""
+        """Return the slowdown that one task of a class causes to a service, decayed by age."""
         estimate = self.pairs.get(Pair(service, task_class, kind))
         if estimate is None:
             return 0.0
@@ -241,40 +256,43 @@
     def known_slowdown(
         self, service: ServiceName, task_class: TaskClass, kind: str, policy: Policy, now: float
     ) -> float | None:
-        """Return the slowdown of a class, None while nothing is known of it."""
+        """Return the slowdown of a class, or None if there is no estimate for it."""
         if Pair(service, task_class, kind) not in self.pairs:
             return None
         return self.slowdown(service, task_class, kind, policy, now)
 
     def level(self, server: InstanceId) -> Level:
-        """Return how far batch work on a server has given way."""
-        watch = self.watches.get(server)
-        return watch.level if watch else Level.OPEN
+        """Return the mitigation level of a server."""
+        monitor = self.monitors.get(server)
+        return monitor.level if monitor else Level.OPEN
 
     def on_end(self, server: InstanceId, how: str) -> None:
-        """Take note of how an attempt ended on a server."""
+        """Record how an attempt on a server ended."""
         outcomes = self.outcomes.setdefault(server, Outcomes())
         if how in ("finished", "failed"):
             outcomes.ended = 0.9 * outcomes.ended + 1.0
             outcomes.failed = 0.9 * outcomes.failed + (how == "failed")
 
     def is_suspect(self, server: InstanceId) -> bool:
-        """Tell whether a server fails far more of what it starts than its peers do."""
-        mine = self.outcomes.get(server)
-        if mine is None or mine.failed < _FAILURES_TO_JUDGE * 0.8:
+        """Return whether a far larger share of attempts fails on a server than on its peers."""
+        own = self.outcomes.get(server)
+        if own is None or own.failed < _MIN_FAILURES * 0.8:
             return False
-        others = [one for name, one in self.outcomes.items() if name != server and one.ended]
-        failed = sum(one.failed for one in others)
-        usual = failed / max(1.0, sum(one.ended for one in others))
-        return mine.failed / mine.ended > max(0.5, _PEER_FACTOR * usual)
+        others = [other for name, other in self.outcomes.items() if name != server and other.ended]
+        failed = sum(other.failed for other in others)
+        peer_ratio = failed / max(1.0, sum(other.ended for other in others))
+        return own.failed / own.ended > max(0.5, _SUSPECT_FAILURE_RATIO * peer_ratio)
 
     def may_probe(self, server: InstanceId, now: float) -> bool:
-        """Tell whether a suspected server may be tried with a repeatable task again."""
-        return now - self.probed_at.get(server, float("-inf")) >= _PROBE_EVERY_S
+        """Return whether a suspect server may be probed with another repeatable task now."""
+        return now - self.probed_at.get(server, float("-inf")) >= _PROBE_INTERVAL_S
 
     def tell(self, now: float) -> Lesson:
-        """Return what was learnt, for peers that have not seen it or may succeed us."""
-        pairs = [Told(*pair, one.slowdown, now - one.at) for pair, one in self.pairs.items()]
+        """Return a snapshot of the model for peers, one of which may become our successor."""
+        pairs = [
+            Told(*pair, estimate.slowdown, now - estimate.at)
+            for pair, estimate in self.pairs.items()
+        ]
         uses = [
             ToldUse(name, use.processors, use.memory_mb, use.reports)
             for name, use in self.uses.items()
@@ -282,24 +300,25 @@
         return Lesson(pairs, uses)
 
     def hear(self, lesson: Lesson, now: float) -> None:
-        """Take what a peer learnt: newer slowdowns, and larger uses."""
-        for told in lesson.uses:
-            use = self.uses.setdefault(told.task_class, ClassUse())
-            use.processors = max(use.processors, told.processors)
-            use.memory_mb = max(use.memory_mb, told.memory_mb)
-            use.reports = max(use.reports, told.reports)
-        for one in lesson.pairs:
-            pair = Pair(one.service, one.task_class, one.kind)
+        """Merge a peer's snapshot: take its newer slowdowns and its larger uses."""
+        for class_use in lesson.uses:
+            use = self.uses.setdefault(class_use.task_class, ClassUse())
+            use.processors = max(use.processors, class_use.processors)
+            use.memory_mb = max(use.memory_mb, class_use.memory_mb)
+            use.reports = max(use.reports, class_use.reports)
+        for estimate in lesson.pairs:
+            pair = Pair(estimate.service, estimate.task_class, estimate.kind)
             known = self.pairs.get(pair)
-            if known is None or known.at < now - one.age_s:
-                self.pairs[pair] = Estimate(one.slowdown, now - one.age_s)
+            if known is None or known.at < now - estimate.age_s:
+                self.pairs[pair] = Estimate(estimate.slowdown, now - estimate.age_s)
 
 
 def _needed(used: float, allocated: float) -> float:
-    """Return what to allocate for a use that was seen under an allocation.
+    """Return what to allocate for a use that was reported under a given allocation.
 
-    A task that works on all it is given shows no need of more. With headroom above that, each
-    start would be given a tenth more than the last, until the class fits on no server.
+    A task that uses all of its allocation does not show that it needs more. If headroom were added
+    to that use, each start would be allocated a tenth more than the one before, until the class
+    fits on no server.
     """
-    wanted = used * _HEADROOM
+    wanted = used * _HEADROOM_FACTOR
     return wanted if used > allocated else min(wanted, allocated)
--- a/spoolcrank/membership.py
+++ b/spoolcrank/membership.py
@@ -1,8 +1,9 @@
-"""Join the platform's lagging list with heartbeats between entry instances.
+"""Combine the platform's delayed list of instances with heartbeats between entry instances.
 
-An instance on the list may be dead and one not yet on it may be alive, so life is judged by
-heartbeats alone. Each heartbeat echoes what its sender last heard of everybody; an echo of
-our own send time is a witness that we were heard, and an owner acts only while it has one.
+An instance on the list may be dead and one not yet on it may be alive, so only heartbeats decide
+whether an entry instance is alive. Each heartbeat echoes the last heartbeat that its sender
+received from every peer. An echo of our own send time is a witness that a peer received our
+heartbeat, and an owner acts only while it has a recent witness.
 """
 
 from dataclasses import dataclass, field
@@ -16,13 +17,13 @@
 
 
 class ServerStatus(NamedTuple):
-    """What an owner tells its peers of one of its backend servers.
+    """The status of one backend server as its owner sends it to its peers.
 
     Attributes:
-        free_slots: runner slots that a request could take now, less the owner's own queue.
-        free: room for batch work by the owner's exact sums.
-        ready: whether the owner has adopted it and hears from it.
-        latency_s: what a request takes at its runner of late.
+        free_slots: Runner slots that a request could use now, less the owner's own queue.
+        free: Free capacity for tasks, by the owner's exact accounting.
+        ready: Whether the owner has adopted the server and receives answers from it.
+        latency_s: Recent latency of a request at its runner.
     """
 
     server: InstanceId
@@ -34,11 +35,11 @@
 
 
 class Echo(NamedTuple):
-    """What a peer last heard of an instance.
+    """The last heartbeat that a peer received from an instance.
 
     Attributes:
-        sent_at: the send time in that instance's own clock, in seconds.
-        age_s: how long ago it was heard.
+        sent_at: The send time by that instance's own clock, in seconds.
+        age_s: How long ago the peer received it, in seconds.
     """
 
     instance: InstanceId
@@ -48,7 +49,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """What an entry instance tells its peers again and again."""
+    """The status that an entry instance sends to its peers periodically."""
 
     sender: InstanceId
     incarnation: Incarnation
@@ -68,7 +69,7 @@
     """The last heartbeat of a peer and when it arrived, by our clock."""
 
     beat: Heartbeat
-    heard_at: float
+    last_heartbeat_at: float
 
 
 @dataclass
@@ -87,13 +88,13 @@
 
 
 def on_list(members: Members, instances: list[Instance], now: float) -> None:
-    """Take the platform's list."""
+    """Replace the listed instances by the platform's list."""
     members.listed = {instance.id: instance for instance in instances}
     members.listed_at = now
 
 
 def on_heartbeat(members: Members, beat: Heartbeat, now: float) -> bool:
-    """Take a peer's heartbeat; returns False for one that came late or twice."""
+    """Record a peer's heartbeat; return False for an outdated or repeated one."""
     known = members.peers.get(beat.sender)
     if known is not None and known.beat.incarnation == beat.incarnation:
         if beat.seq <= known.beat.seq:
@@ -106,35 +107,37 @@
 
 
 def echoes(members: Members, now: float) -> tuple[Echo, ...]:
-    """Return what we heard of everybody, for our next heartbeat."""
+    """Return the last heartbeat received from each peer, as echoes for our next heartbeat."""
     return tuple(
-        Echo(peer.beat.sender, peer.beat.incarnation, peer.beat.sent_at, now - peer.heard_at)
+        Echo(
+            peer.beat.sender, peer.beat.incarnation, peer.beat.sent_at, now - peer.last_heartbeat_at
+        )
         for peer in members.peers.values()
     )
 
 
 def is_alive(members: Members, instance: InstanceId, policy: Policy, now: float) -> bool:
-    """Tell whether an entry instance, ourselves included, is heard."""
+    """Return whether an entry instance is sending heartbeats; we ourselves always are."""
     if instance == members.me:
         return True
     peer = members.peers.get(instance)
-    return peer is not None and now - peer.heard_at <= policy.membership.dead_after_s
+    return peer is not None and now - peer.last_heartbeat_at <= policy.membership.dead_after_s
 
 
 def is_incarnation_alive(
     members: Members, instance: InstanceId, incarnation: Incarnation, policy: Policy, now: float
 ) -> bool:
-    """Tell whether that very process of an entry instance is heard."""
+    """Return whether a given process of an entry instance is sending heartbeats."""
     if instance == members.me:
         return incarnation == members.incarnation
     peer = members.peers.get(instance)
     if peer is None or peer.beat.incarnation != incarnation:
         return False
-    return now - peer.heard_at <= policy.membership.dead_after_s
+    return now - peer.last_heartbeat_at <= policy.membership.dead_after_s
 
 
 def is_drained(members: Members, instance: InstanceId, ledger: Ledger) -> bool:
-    """Tell whether the platform or an operator is taking an instance out of use."""
+    """Return whether the platform or an operator is draining an instance."""
     listed = members.listed.get(instance)
     if instance in ledger.drains:
         return True
@@ -146,20 +149,20 @@
 def owners_of_zone(
     members: Members, ledger: Ledger, policy: Policy, now: float
 ) -> list[InstanceId]:
-    """Return the entry instances of our zone that may own servers, in order of name."""
-    fit = []
+    """Return the entry instances of our zone that may own servers, sorted by name."""
+    eligible = []
     for peer in members.peers.values():
         beat = peer.beat
         same_zone = beat.zone == members.zone and beat.ready and not beat.leaving
         if same_zone and is_alive(members, beat.sender, policy, now):
-            fit.append(beat.sender)
+            eligible.append(beat.sender)
     if not members.leaving:
-        fit.append(members.me)
-    return sorted(one for one in fit if not is_drained(members, one, ledger))
+        eligible.append(members.me)
+    return sorted(entry for entry in eligible if not is_drained(members, entry, ledger))
 
 
 def servers_of_zone(members: Members) -> list[Instance]:
-    """Return the backend servers of our zone by the list."""
+    """Return the listed backend servers of our zone."""
     return [
         instance
         for instance in members.listed.values()
@@ -168,17 +171,17 @@
 
 
 def settled(members: Members, policy: Policy, now: float) -> bool:
-    """Tell whether we have listened long enough to judge who is dead."""
-    heard_for = now - members.started_at
-    return members.listed_at is not None and heard_for > policy.membership.dead_after_s
+    """Return whether we have listened long enough to judge which peers are dead."""
+    listening_s = now - members.started_at
+    return members.listed_at is not None and listening_s > policy.membership.dead_after_s
 
 
 def may_act(members: Members, log_ok_at: float, policy: Policy, now: float) -> bool:
-    """Tell whether an owner may command its servers.
+    """Return whether an owner may command its servers.
 
-    An owner that neither the log nor any peer has witnessed for `fence_s` may have been
-    succeeded without its knowledge, or may just have been paused; it must not act. An
-    instance that has no peers on the list is alone and needs none.
+    An owner that neither the log nor any peer has witnessed for `fence_s` may have been replaced
+    without its knowledge, or may just have been paused, so it must not act. An instance with no
+    peers on the list needs no witness.
     """
     witnessed = max(members.witness_at, log_ok_at)
     if now - witnessed <= policy.leases.fence_s:
@@ -198,23 +201,23 @@
 def surely_silent_for(
     members: Members, instance: InstanceId, incarnation: Incarnation, policy: Policy, now: float
 ) -> float:
-    """Return for how long, in seconds, surely nobody witnessed a process at a stretch.
+    """Return for how many seconds up to now a process has certainly had no witness.
 
-    Every listed entry instance must have told us what it heard; one that we do not hear
-    could still be a witness, so its silence makes the answer 0. A process that was
-    replaced by a new incarnation, or is off the list, is gone for good.
+    Every listed entry instance must have sent us its echoes. One whose heartbeats we do not
+    receive could still be a witness, so its silence makes the result 0. A process that was
+    replaced by a new incarnation, or is no longer listed, is gone permanently.
     """
     peer = members.peers.get(instance)
     if peer is not None and peer.beat.incarnation != incarnation:
         return float("inf")
     if instance not in members.listed and members.listed_at is not None:
         return float("inf")
-    silent = now - peer.heard_at if peer is not None else now - members.started_at
+    silent_s = now - peer.last_heartbeat_at if peer is not None else now - members.started_at
     for other in other_entries(members):
         if other.id != instance:
             witness = members.peers.get(other.id)
-            silent = min(silent, _silent_by(witness, instance, incarnation, policy, now))
-    return silent
+            silent_s = min(silent_s, _silent_by(witness, instance, incarnation, policy, now))
+    return silent_s
 
 
 def _silent_by(
@@ -224,7 +227,7 @@
     policy: Policy,
     now: float,
 ) -> float:
-    if witness is None or now - witness.heard_at > policy.membership.dead_after_s:
+    if witness is None or now - witness.last_heartbeat_at > policy.membership.dead_after_s:
         return 0.0
     for echo in witness.beat.echoes:
         if echo.instance == instance and echo.incarnation == incarnation:
@@ -233,6 +236,6 @@
 
 
 def rack_of(members: Members, instance: InstanceId) -> Rack:
-    """Return the rack of an instance, empty when it is not listed."""
+    """Return the rack of an instance, empty if it is not listed."""
     listed = members.listed.get(instance)
     return listed.rack if listed else Rack("")
--- a/spoolcrank/owned_server.py
+++ b/spoolcrank/owned_server.py
@@ -1,4 +1,4 @@
-"""Hold what an owner knows of one of its backend servers, and name what it asks for."""
+"""Define what an owner knows of one of its backend servers, and the actions it requests."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,12 +10,13 @@
 from spoolcrank.slot_use import SlotUse
 from spoolcrank.worker import AttemptRef, Command, Report
 
-_ON_ITS_WAY = 0.75
-"""Share of the margin for clocks and messages for which a command may be on its way."""
+_TRANSIT_MARGIN_SHARE = 0.75
+"""Share of the lease margin, which covers clocks and messages, that a command may spend in
+transit."""
 
 
 class Phase(Enum):
-    """How far an owner knows a server."""
+    """Whether an owner is still adopting a server, has its report, or gets no answer from it."""
 
     ADOPTING = "adopting"
     READY = "ready"
@@ -23,13 +24,13 @@
 
 
 class Append(NamedTuple):
-    """Have a record appended to the control stream."""
+    """An action: append a record to the control stream."""
 
     record: AnyRecord
 
 
 class Send(NamedTuple):
-    """Have a command sent to a server."""
+    """An action: send a command to a server."""
 
     server: InstanceId
     command: Command
@@ -54,7 +55,7 @@
     report_sent_at: float = float("-inf")
     adopted_at: float = float("inf")
     contacted_at: float | None = None
-    former_heard_at: float | None = None
+    previous_contact_at: float | None = None
     last_renew_at: float = float("-inf")
     next_at: float = float("-inf")
     seq: int = 0
@@ -73,26 +74,30 @@
         return self.report.incarnation if self.report else Incarnation("")
 
     def expiry(self, policy: Policy, now: float) -> float:
-        """Return the worker's clock at which a command decided now must lapse unobeyed.
+        """Return the time, by the worker's clock, from which it must ignore a command issued now.
 
-        The worker's clock was read before its report arrived, so this is never too late.
+        The worker read its clock before its report arrived, so the result is never too late.
         """
         if self.report is None or self.contacted_at is None:
             return 0.0
-        return self.report.clock + (now - self.contacted_at) + policy.leases.margin_s * _ON_ITS_WAY
+        return (
+            self.report.clock
+            + (now - self.contacted_at)
+            + policy.leases.margin_s * _TRANSIT_MARGIN_SHARE
+        )
 
     def next_seq(self) -> int:
-        """Return the number of the next command."""
+        """Increment and return the sequence number of commands."""
         self.seq += 1
         return self.seq
 
 
 class Situation(NamedTuple):
-    """What the owner may rely on at this moment.
+    """The present state of the log as an owner sees it.
 
     Attributes:
-        log_ok: the log answers.
-        read_at: the last time at which the log had been read to its end.
+        log_ok: Whether the log answers.
+        read_at: The last time at which the log had been read to its end.
     """
 
     log_ok: bool
--- a/spoolcrank/ownership.py
+++ b/spoolcrank/ownership.py
@@ -1,7 +1,7 @@
-"""Decide who owns which backend server.
+"""Decide which entry instance owns which backend server.
 
 Every backend server has one owner, an entry instance of its own zone. A claim on the log
-makes the owner; for each epoch the first claim in the log's order wins.
+establishes the owner; for each epoch the first claim in the order of the log wins.
 """
 
 from enum import Enum
@@ -24,10 +24,10 @@
 
 
 class Standing(Enum):
-    """How a server stands towards us."""
+    """Whether a server is owned by us, by a live peer, or by no live process."""
 
     MINE = "mine"
-    HELD = "held"
+    OWNED_BY_PEER = "held"
     VACANT = "vacant"
 
 
@@ -41,38 +41,38 @@
     return max(owners, key=lambda owner: weight(server, owner), default=None)
 
 
-def standing(members: Members, claim: Claim | None, policy: Policy, now: float) -> Standing:
-    """Tell whether a server is ours, held by a process that lives, or vacant."""
+def ownership_status(members: Members, claim: Claim | None, policy: Policy, now: float) -> Standing:
+    """Return whether a server is ours, owned by a live process of a peer, or vacant."""
     if claim is None:
         return Standing.VACANT
     if claim.incarnation == members.incarnation:
         return Standing.MINE
     if is_incarnation_alive(members, claim.owner, claim.incarnation, policy, now):
-        return Standing.HELD
+        return Standing.OWNED_BY_PEER
     return Standing.VACANT
 
 
-class Desire(NamedTuple):
-    """Which servers of the zone are vacant and fall to us."""
+class Vacancy(NamedTuple):
+    """A vacant server that we should claim, and its last claim."""
 
     server: InstanceId
     claim: Claim | None
 
 
-def vacancies(members: Members, ledger: Ledger, policy: Policy, now: float) -> list[Desire]:
-    """Return the vacant servers of the zone whose preferred owner we are."""
+def vacancies(members: Members, ledger: Ledger, policy: Policy, now: float) -> list[Vacancy]:
+    """Return the vacant servers of our zone for which we are the preferred owner."""
     owners = owners_of_zone(members, ledger, policy, now)
     if members.me not in owners:
         return []
-    wanted = []
-    for instance in sorted(members.listed.values(), key=lambda one: one.id):
+    claimable = []
+    for instance in sorted(members.listed.values(), key=lambda item: item.id):
         if instance.role.value != "backend" or instance.availability_zone != members.zone:
             continue
         claim = ledger.claims.get(instance.id)
-        if standing(members, claim, policy, now) is Standing.VACANT:
+        if ownership_status(members, claim, policy, now) is Standing.VACANT:
             if preferred(instance.id, owners) == members.me:
-                wanted.append(Desire(instance.id, claim))
-    return wanted
+                claimable.append(Vacancy(instance.id, claim))
+    return claimable
 
 
 def successor(
@@ -91,18 +91,20 @@
     policy: Policy,
     now: float,
 ) -> bool:
-    """Tell whether tasks of an unreachable server may be given up.
+    """Return whether the tasks of an unreachable server may be declared lost.
 
-    A server that obeyed us since we own it can have had its leases renewed by us alone.
-    One that never did may have obeyed any other entry instance of the zone, so each of
-    them must be heard, or surely have stopped acting.
+    If the server has obeyed us since we became its owner, only we can have renewed its leases.
+    If it never has, it may have obeyed any other entry instance of the zone, so each of these
+    must either be sending us heartbeats or certainly have stopped acting.
 
     Args:
-        members: what we know of the fleet.
-        contacted: whether the server has obeyed us since we own it, without a pause of ours.
-        silent_since: the last time at which we or a peer that we hear may have renewed there.
-        policy: the configuration in force.
-        now: the present time.
+        members: What we know of the fleet.
+        contacted: Whether the server has obeyed us since we became its owner, with no pause of
+            ours in between.
+        silent_since: The last time at which we, or a peer whose heartbeats we receive, may have
+            renewed leases there.
+        policy: The configuration in force.
+        now: The present time, in monotonic seconds.
     """
     leases = policy.leases
     lapsed = leases.lease_s + leases.margin_s
@@ -123,12 +125,12 @@
 
 
 def drained(members: Members, ledger: Ledger, server: InstanceId) -> bool:
-    """Tell whether a server may take no new work."""
+    """Return whether a server may take no new work: it is unlisted or being drained."""
     return server not in members.listed or is_drained(members, server, ledger)
 
 
 def incarnation_of(members: Members, owner: InstanceId) -> Incarnation:
-    """Return the incarnation that we last heard of an owner, empty when none."""
+    """Return the incarnation in an owner's last heartbeat, empty if there is none."""
     if owner == members.me:
         return members.incarnation
     peer = members.peers.get(owner)
--- a/spoolcrank/server_commands.py
+++ b/spoolcrank/server_commands.py
@@ -1,4 +1,4 @@
-"""Build the commands of an owner to one of its backend servers."""
+"""Build the commands that an owner sends to one of its backend servers."""
 
 from typing import TypedDict
 
@@ -10,7 +10,7 @@
 
 
 class FenceFields(TypedDict):
-    """The fields that every command but `Adopt` begins with."""
+    """The fields that every command except `Adopt` begins with."""
 
     owner: Incarnation
     epoch: Epoch
@@ -20,7 +20,7 @@
 
 
 def fence(owned: OwnedServer, policy: Policy, now: float) -> FenceFields:
-    """Return what tells a worker who commands, and until when the command holds."""
+    """Return the fields that identify the commanding owner and limit a command's validity."""
     return FenceFields(
         owner=owned.me,
         epoch=owned.epoch,
@@ -31,12 +31,12 @@
 
 
 def adopt(owned: OwnedServer) -> Send:
-    """Ask a server to obey us and to list everything."""
+    """Build the command that asks a server to obey us and to report everything it runs."""
     return Send(owned.server, Adopt(owner=owned.me, epoch=owned.epoch, seq=owned.next_seq()))
 
 
 def stop(owned: OwnedServer, task: TaskId, attempt: int, policy: Policy, now: float) -> Send:
-    """Stop an attempt without a checkpoint."""
+    """Build the command that stops an attempt without a checkpoint."""
     command = Stop(
         **fence(owned, policy, now),
         task=task,
@@ -46,7 +46,7 @@
 
 
 def start(owned: OwnedServer, ledger: Ledger, task: Task, policy: Policy, now: float) -> Send:
-    """Start the attempt that the log binds to a server."""
+    """Build the command that starts the attempt bound to a server, and record its time."""
     spec = ledger.spec(task)
     owned.starts[task.id] = now
     command = Start(
@@ -64,7 +64,7 @@
 
 
 def evict(owned: OwnedServer, task: TaskId, attempt: int, policy: Policy, now: float) -> Send:
-    """Checkpoint and stop an attempt."""
+    """Build the command that checkpoints and stops an attempt."""
     command = Evict(
         **fence(owned, policy, now),
         task=task,
@@ -76,7 +76,7 @@
 def throttle(
     owned: OwnedServer, task: TaskId, attempt: int, share: float, policy: Policy, now: float
 ) -> Send:
-    """Let an attempt run at a share of its speed."""
+    """Build the command that limits an attempt to a share of its full speed."""
     command = Throttle(
         **fence(owned, policy, now),
         task=task,
--- a/spoolcrank/servers.py
+++ b/spoolcrank/servers.py
@@ -1,8 +1,8 @@
-"""Decide what an owner does with one of its backend servers.
+"""Decide which commands and records an owner issues for one of its backend servers.
 
-The log binds a task to a server; the server itself holds the truth about what runs. Each
-report of a server is compared with the log and every difference is settled: a missing task
-is started, an ended one recorded, a foreign one stopped.
+The log binds a task to a server; the server itself is authoritative about what runs. Each
+report of a server is compared with the log and every difference is resolved: a missing task
+is started, the end of a task is recorded, and a task that is not bound there is stopped.
 """
 
 from collections.abc import Iterable
@@ -19,12 +19,12 @@
 from spoolcrank.server_commands import adopt, fence, start, stop
 from spoolcrank.worker import AttemptRef, EndedTask, Refused, Renew, Report
 
-_APPEND_AGAIN_S = 5.0
+_APPEND_RETRY_S = 5.0
 _LOST_REASON = "its server did not answer for longer than the lease"
 
 
 def allocated(owned: OwnedServer, ledger: Ledger) -> Resources:
-    """Return the sum of all that runs, is bound, or is about to be bound to a server."""
+    """Return the total size of the tasks running on, bound to, or being placed on a server."""
     sizes: dict[TaskId, Resources] = {}
     for task in ledger.placed_at(owned.server):
         sizes[task.id] = task.size.resources
@@ -37,7 +37,7 @@
 
 
 def poll(owned: OwnedServer, ledger: Ledger, policy: Policy, now: float) -> list[Action]:
-    """Adopt, renew or probe a server when its time has come."""
+    """Return the adopt or renew command for a server when it is due."""
     if now < owned.next_at or owned.waiting:
         return []
     owned.next_at = now + policy.leases.renew_s
@@ -64,7 +64,7 @@
 
 
 def is_settled(ledger: Ledger, ended: EndedTask, owned: OwnedServer) -> bool:
-    """Tell whether the log already says how an ended attempt ended."""
+    """Return whether the log already shows that an ended attempt has ended."""
     task = ledger.tasks.get(ended.task)
     if task is None:
         return False
@@ -82,12 +82,12 @@
     policy: Policy,
     now: float,
 ) -> list[Action]:
-    """Take a server's report and settle every difference with the log."""
+    """Handle a server's report and resolve every difference from the log."""
     restarted = owned.report is not None and report.incarnation != owned.incarnation
     if owned.phase is not Phase.READY or restarted:
         owned.adopted_at = now
     if restarted:
-        owned.former_heard_at = owned.contacted_at
+        owned.previous_contact_at = owned.contacted_at
     owned.phase = Phase.READY
     owned.report = report
     owned.report_sent_at = sent_at
@@ -96,7 +96,7 @@
 
 
 def on_refused(owned: OwnedServer, refused: Refused) -> bool:
-    """Take a server's no; returns True when the server obeys somebody else now."""
+    """Handle a refused command; return True if the server obeys another owner now."""
     if refused.epoch > owned.epoch:
         return True
     if refused.epoch == owned.epoch and refused.owner != owned.me:
@@ -109,7 +109,7 @@
 
 
 def on_silence(owned: OwnedServer, policy: Policy, now: float) -> None:
-    """Take note that a command got no answer."""
+    """Record that a command got no answer; mark the server silent after two renewal intervals."""
     since = owned.contacted_at if owned.contacted_at is not None else owned.claimed_at
     if now - since > 2 * policy.leases.renew_s:
         owned.phase = Phase.SILENT
@@ -119,7 +119,7 @@
 def reconcile(
     owned: OwnedServer, ledger: Ledger, situation: Situation, policy: Policy, now: float
 ) -> list[Action]:
-    """Return what brings server and log together, by the last report."""
+    """Return the actions that resolve the differences between the last report and the log."""
     report = owned.report
     if owned.phase is not Phase.READY or report is None:
         return []
@@ -128,17 +128,17 @@
     ended = {end.task: end for end in report.ended}
     for end in report.ended:
         actions += _record_end(owned, ledger, end, situation, policy, now)
-    fresh = situation.read_at > max(owned.adopted_at, owned.report_sent_at)
+    log_is_newer = situation.read_at > max(owned.adopted_at, owned.report_sent_at)
     for run in report.running:
         task = ledger.tasks.get(run.task)
         if _belongs(task, owned, run.attempt):
             if task is not None and ledger.jobs[task.job].cancelled_by is not None:
                 actions.append(stop(owned, run.task, run.attempt, policy, now))
-        elif fresh:
+        elif log_is_newer:
             actions.append(stop(owned, run.task, run.attempt, policy, now))
     for task in ledger.placed_at(owned.server):
         if task.id not in running and not _has_ended(ended, task):
-            actions += _missing(owned, ledger, task, situation, policy, now)
+            actions += _handle_missing(owned, ledger, task, situation, policy, now)
     return actions
 
 
@@ -169,22 +169,22 @@
     return append_end(owned, end, now)
 
 
-def _lose(
+def _record_lost(
     owned: OwnedServer, ledger: Ledger, task: Task, policy: Policy, now: float
 ) -> list[Action]:
-    """Record that an attempt went with its server's last incarnation, and what was beside it."""
-    reason = f"{owned.server} started anew"
+    """Record an attempt lost when its server restarted: how long it lived, whether it was alone."""
+    reason = f"{owned.server} restarted"
     lost = EndedTask(task=task.id, attempt=task.attempt, how="lost", reason=reason)
     started = owned.starts.get(task.id)
-    # An owner that placed it and never told the server has seen nothing of it.
-    untold = started is None and task.epoch == owned.epoch
-    if untold or owned.server in ledger.drains:
+    # An owner that placed the task but never sent the start command has no evidence about it.
+    never_sent = started is None and task.epoch == owned.epoch
+    if never_sent or owned.server in ledger.drains:
         return append_end(owned, lost, now)
-    others = [one for one in ledger.placed_at(owned.server) if one.id != task.id]
-    alone = all(task.since - one.since >= SETTLED_S and not one.crashes for one in others)
+    others = [other for other in ledger.placed_at(owned.server) if other.id != task.id]
+    alone = all(task.since - other.since >= SETTLED_S and not other.crashes for other in others)
     lived_s = UNKNOWN_S
-    if started is not None and owned.former_heard_at is not None:
-        lived_s = max(0.0, owned.former_heard_at + policy.leases.renew_s - started)
+    if started is not None and owned.previous_contact_at is not None:
+        lived_s = max(0.0, owned.previous_contact_at + policy.leases.renew_s - started)
     crash = Crash(server=owned.server, lived_s=lived_s, alone=alone)
     return append_end(owned, lost, now, crash)
 
@@ -192,10 +192,10 @@
 def append_end(
     owned: OwnedServer, end: EndedTask, now: float, crash: Crash | None = None
 ) -> list[Action]:
-    """Have the end of an attempt recorded, once in a while until the log shows it."""
+    """Return the record of an attempt's end; repeat it at intervals until the log shows it."""
     ref = AttemptRef(task=end.task, attempt=end.attempt)
-    appended = owned.ends.get(ref)
-    if appended is not None and now - appended < _APPEND_AGAIN_S:
+    appended_at = owned.ends.get(ref)
+    if appended_at is not None and now - appended_at < _APPEND_RETRY_S:
         return []
     owned.ends[ref] = now
     record = Ended(
@@ -211,7 +211,7 @@
     return [Append(record)]
 
 
-def _missing(
+def _handle_missing(
     owned: OwnedServer,
     ledger: Ledger,
     task: Task,
@@ -222,19 +222,21 @@
     if situation.read_at <= owned.adopted_at or task.epoch == NO_EPOCH:
         return []
     if task.server_incarnation != owned.incarnation:
-        return _lose(owned, ledger, task, policy, now) if situation.log_ok else []
+        return _record_lost(owned, ledger, task, policy, now) if situation.log_ok else []
     if owned.starts.get(task.id, float("-inf")) >= owned.report_sent_at:
         return []
     if ledger.jobs[task.job].cancelled_by is not None:
-        never = EndedTask(task=task.id, attempt=task.attempt, how="stopped", reason="not started")
-        return append_end(owned, never, now) if situation.log_ok else []
+        unstarted = EndedTask(
+            task=task.id, attempt=task.attempt, how="stopped", reason="not started"
+        )
+        return append_end(owned, unstarted, now) if situation.log_ok else []
     return [start(owned, ledger, task, policy, now)]
 
 
 def on_placed(
     owned: OwnedServer, ledger: Ledger, record: Placed, policy: Policy, now: float
 ) -> list[Action]:
-    """Start a task as soon as the log has bound it to one of our servers."""
+    """Return the command that starts a task which the log has just bound to one of our servers."""
     task = ledger.tasks[record.task]
     if owned.phase is not Phase.READY or owned.epoch != record.epoch:
         return []
@@ -246,10 +248,10 @@
 def resume_here(
     owned: OwnedServer, ledger: Ledger, situation: Situation, policy: Policy, now: float
 ) -> list[Action]:
-    """While the log is down, resume evicted tasks on the server that the log binds them to.
+    """Resume evicted tasks on the server that the log binds them to while the log is down.
 
-    Only an owner by the log may, and only where the eviction was never sent to the log;
-    otherwise the record could still free the task for another server.
+    Only an owner with a claim on the log may do so, and only if the eviction was never sent to
+    the log; otherwise that record could still release the task for another server.
     """
     if situation.log_ok or owned.phase is not Phase.READY or owned.report is None:
         return []
@@ -270,8 +272,8 @@
     return actions
 
 
-def give_up(owned: OwnedServer, ledger: Ledger, now: float) -> list[Action]:
-    """Record that everything bound to an unreachable server is lost."""
+def record_all_lost(owned: OwnedServer, ledger: Ledger, now: float) -> list[Action]:
+    """Return the records that declare all tasks bound to an unreachable server lost."""
     actions: list[Action] = []
     for task in ledger.placed_at(owned.server):
         lost = EndedTask(task=task.id, attempt=task.attempt, how="lost", reason=_LOST_REASON)
@@ -280,7 +282,7 @@
 
 
 def batch_tasks(owned: OwnedServer) -> Iterable[tuple[TaskId, int]]:
-    """Return the batch attempts that the last report showed running."""
+    """Return the task and attempt number of each batch task running in the last report."""
     if owned.report is None:
         return []
     return [
--- a/spoolcrank/state.py
+++ b/spoolcrank/state.py
@@ -1,4 +1,4 @@
-"""Hold the state behind one entry instance's decisions, and name their outcomes."""
+"""Define the state of one entry instance's decisions and the actions that they return."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -22,13 +22,13 @@
 from spoolcrank.resources import NOTHING, Resources
 from spoolcrank.slot_use import kept_slots
 
-_LOG_DOWN_S = 4.0
+_LOG_TIMEOUT_S = 4.0
 
 
 class Handover(NamedTuple):
-    """Have a peer told that it owns a server from now on.
+    """An action: notify a peer that it owns a server from now on.
 
-    `busy` counts the requests that we still have at its runner.
+    `busy` is the number of our requests that the server's runner is still serving.
     """
 
     to: InstanceId
@@ -38,14 +38,14 @@
 
 
 class Note(NamedTuple):
-    """Have something counted and logged."""
+    """An action: count and log an event."""
 
     name: str
     fields: dict[str, str]
 
 
-class Yielded(NamedTuple):
-    """A server that we stopped commanding, the epoch that goes above ours, and when."""
+class Relinquished(NamedTuple):
+    """A server that we stopped commanding: the epoch that supersedes ours, and when we stopped."""
 
     epoch: Epoch
     at: float
@@ -56,14 +56,14 @@
 
 @dataclass
 class Core:
-    """The state behind one entry instance's decisions."""
+    """The state of one entry instance's decisions; times are monotonic, in seconds."""
 
     members: Members
     policy: Policy = DEFAULT
     config_version: ConfigVersion = NO_CONFIG
     ledger: Ledger = field(default_factory=Ledger)
     owned: dict[InstanceId, OwnedServer] = field(default_factory=dict)
-    yielded: dict[InstanceId, Yielded] = field(default_factory=dict)
+    relinquished: dict[InstanceId, Relinquished] = field(default_factory=dict)
     log_ok_at: float = float("-inf")
     log_failed_at: float = float("-inf")
     ticked_at: float = float("-inf")
@@ -73,16 +73,16 @@
     refusals_sent: dict[str, float] = field(default_factory=dict)
     obstacles: dict[TaskId, Obstacle] = field(default_factory=dict)
     passed_over: set[TaskId] = field(default_factory=set)
-    held_elsewhere: dict[InstanceId, float] = field(default_factory=dict)
-    handed_at: float = float("-inf")
+    owned_elsewhere_at: dict[InstanceId, float] = field(default_factory=dict)
+    last_handover_at: float = float("-inf")
     stopping: bool = False
     service_rate: Callable[[ServiceName], float] = field(default=lambda service: 0.0)
     busy_slots: Callable[[InstanceId], int] = field(default=lambda server: 0)
     learnt: interference.Learnt = field(default_factory=interference.Learnt)
 
     def situation(self, now: float) -> Situation:
-        """Return what may be relied on about the log."""
-        log_ok = now - self.log_ok_at <= _LOG_DOWN_S and self.log_ok_at > self.log_failed_at
+        """Return whether the log answers, and when it was last read to its end."""
+        log_ok = now - self.log_ok_at <= _LOG_TIMEOUT_S and self.log_ok_at > self.log_failed_at
         return Situation(log_ok, self.log_ok_at)
 
     def server_status(
@@ -90,13 +90,13 @@
         free_slots: Callable[[InstanceId], int],
         latency_s: Callable[[InstanceId], float] = lambda server: 0.0,
     ) -> tuple[ServerStatus, ...]:
-        """Return what the peers are told of our servers."""
+        """Return the status of our servers for the next heartbeat."""
         return tuple(
             ServerStatus(
                 server=owned.server,
                 epoch=owned.epoch,
                 free_slots=free_slots(owned.server),
-                free=free_room(self, owned),
+                free=free_capacity(self, owned),
                 ready=owned.phase is Phase.READY,
                 latency_s=latency_s(owned.server),
             )
@@ -105,27 +105,30 @@
 
 
 def can_act(core: Core, now: float) -> bool:
-    """Tell whether we may command our servers; false right after a pause, until witnessed."""
+    """Return whether we may command our servers.
+
+    After a pause this is False until a peer or the log has witnessed us again.
+    """
     return core.acting and membership.may_act(core.members, core.log_ok_at, core.policy, now)
 
 
-def free_room(core: Core, owned: OwnedServer) -> Resources:
-    """Return what an owned server has left for tasks; nothing where it may take none."""
+def free_capacity(core: Core, owned: OwnedServer) -> Resources:
+    """Return the free capacity of an owned server for tasks; none if it may take no tasks."""
     instance = core.members.listed.get(owned.server)
     if instance is None or owned.phase is not Phase.READY:
         return NOTHING
     if ownership.drained(core.members, core.ledger, owned.server):
         return NOTHING
-    return usable_room(core, owned, instance).minus(servers.allocated(owned, core.ledger))
+    return usable_capacity(core, owned, instance).minus(servers.allocated(owned, core.ledger))
 
 
-def usable_room(core: Core, owned: OwnedServer, instance: Instance) -> Resources:
-    """Return what tasks may take of an owned server in all, beside its runner as it is used."""
+def usable_capacity(core: Core, owned: OwnedServer, instance: Instance) -> Resources:
+    """Return the total capacity for tasks of an owned server, given its runner's recent use."""
     use = owned.runner_use
     busy = instance.slots if use is None else kept_slots(use, instance.slots)
     return placement.usable(instance, busy, core.policy)
 
 
 def new_core(members: Members) -> Core:
-    """Return the core of an instance that just started."""
+    """Return the state of an instance that has just started."""
     return Core(members=members)
