--- a/spoolcrank/controller.py
+++ b/spoolcrank/controller.py
@@ -1,4 +1,4 @@
-"""Run the core of an entry instance: feed it events, carry out its actions."""
+"""Run the core of an entry instance: pass events to it and carry out its actions."""
 
 import json
 import time
@@ -29,24 +29,22 @@
 from spoolcrank.worker_link import WorkerLink
 
 TICK_S = 0.05
-APPENDS_PER_S = 90.0
-_FORGET_S = 10.0
-_SNAPSHOT_S = 60.0
-_STATE_AGAIN_S = 3.0
+MAX_APPENDS_PER_S = 90.0
+_RECORD_CLEANUP_INTERVAL_S = 10.0
+_MAX_SNAPSHOT_INTERVAL_S = 60.0
+_STATE_QUERY_INTERVAL_S = 3.0
 _QUERY_TIMEOUT_S = 2.0
-
 WHAT_STATE = "state"
 WHAT_CONFIG = "config"
-WHAT_LEARNT = "learnt"
-_TELL_LEARNT_S = 2.0
-
+WHAT_LEARNED = "learnt"
+_LEARNED_INTERVAL_S = 2.0
 Responder = Callable[[str], str]
 LatencyOf = Callable[[InstanceId], float]
 FreeSlots = Callable[[InstanceId], int]
 
 
 class Controller(BaseComponent):
-    """Own the core and everything that it acts through."""
+    """The owner of the core and of the links through which the core acts."""
 
     channel = "controller"
 
@@ -69,7 +67,7 @@
         self.latency_s: LatencyOf = lambda server: 0.0
         self.responders: dict[str, Responder] = {
             WHAT_STATE: lambda text: json.dumps(dump_snapshot(self._snapshot())),
-            WHAT_LEARNT: self._hear_learnt,
+            WHAT_LEARNED: self._merge_learned,
             WHAT_CONFIG: lambda text: json.dumps([self.config.version, self.config.toml]),
         }
         self._timers = timers
@@ -83,24 +81,24 @@
         self._snapshot_at = float("-inf")
         self._caught_up = False
         timers.every(TICK_S, self._tick)
-        timers.after(0.0, self._beat)
-        timers.every(_FORGET_S, lambda: assignment.forget_ended(self.core))
-        timers.every(1.0, self._watch_snapshot)
-        timers.every(_TELL_LEARNT_S, self._tell_learnt)
+        timers.after(0.0, self._send_periodic_heartbeat)
+        timers.every(_RECORD_CLEANUP_INTERVAL_S, lambda: assignment.forget_ended(self.core))
+        timers.every(1.0, self._write_snapshot_if_due)
+        timers.every(_LEARNED_INTERVAL_S, self._publish_learned)
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether callers may send requests to this instance."""
         return not self.not_ready_reason()
 
     def not_ready_reason(self) -> str:
-        """Return why this instance is not ready, empty when it is."""
+        """Return why this instance is not ready, or an empty string if it is."""
         if self.core.stopping:
             return "leaving"
         if not self._caught_up:
-            return "has neither read the log nor heard its state from a peer"
+            return "has neither read the log nor received its state from a peer"
         if not membership.settled(self.core.members, self.core.policy, time.monotonic()):
-            return "is still listening for its peers"
+            return "is still waiting for heartbeats of its peers"
         if membership.is_drained(self.core.members, self.core.members.me, self.core.ledger):
             return "is drained"
         return ""
@@ -110,38 +108,38 @@
         for server, owned in self.core.owned.items():
             owned.waiting = self._workers.outstanding(server)
         wall = time.time()
-        told = self._told_tick(wall) if self.recorder else {}
-        self._decided(now, told, decisions.tick(self.core, now, wall))
-        self._ask_state(now)
+        traced = self._tick_input(wall) if self.recorder else {}
+        self._carry_out(now, traced, decisions.tick(self.core, now, wall))
+        self._query_state(now)
 
-    def _told_tick(self, wall: float) -> dict[str, Any]:
+    def _tick_input(self, wall: float) -> dict[str, Any]:
         waiting = {server: owned.waiting for server, owned in self.core.owned.items()}
         rates = replay.rates_of(self.core)
         busy = {server: self.core.busy_slots(server) for server in self.core.owned}
         return {"kind": "tick", "wall": wall, "waiting": waiting, "rates": rates, "busy": busy}
 
-    def _decided(self, now: float, told: dict[str, Any], actions: list[CoreAction]) -> None:
-        """Carry out what was decided on an input, and record both where asked to."""
+    def _carry_out(self, now: float, traced: dict[str, Any], actions: list[CoreAction]) -> None:
+        """Carry out the actions decided on an input; record both if a trace is written."""
         if self.recorder is not None:
-            self.recorder.note(now, told, actions)
+            self.recorder.note(now, traced, actions)
         self.act(actions)
 
-    def _told(self, now: float, told: dict[str, Any]) -> None:
+    def _trace_input(self, now: float, traced: dict[str, Any]) -> None:
         if self.recorder is not None:
-            self.recorder.note(now, told)
+            self.recorder.note(now, traced)
 
     def on_latency(self, server: InstanceId, latency_s: float, now: float) -> None:
-        """Let the core learn from one request's latency."""
-        self._told(now, {"kind": "latency", "server": server, "latency_s": latency_s})
+        """Update the interference model with the latency of one request."""
+        self._trace_input(now, {"kind": "latency", "server": server, "latency_s": latency_s})
         self.core.learnt.on_latency(server, latency_s, now)
 
     def hand_over_all(self) -> None:
-        """Give every server away and tell the peers at once that we are leaving."""
+        """Hand over every server and announce at once to all peers that this instance leaves."""
         self.act(tenure.hand_over_all(self.core, time.monotonic()))
-        self._send_beat(everyone=True)
+        self._send_heartbeat(all_zones=True)
 
     def act(self, actions: list[CoreAction]) -> None:
-        """Carry out what the core decided."""
+        """Carry out the actions that the core decided on."""
         for action in actions:
             match action:
                 case Append():
@@ -162,34 +160,34 @@
     def _on_log_read(self, entries: list[Entry], asked_at: float, at_end: bool) -> None:
         now = time.monotonic()
         for entry in entries:
-            told = trace.told_entry(entry) if self.recorder else {}
-            self._decided(now, told, decisions.on_entry(self.core, entry, now))
+            traced = trace.told_entry(entry) if self.recorder else {}
+            self._carry_out(now, traced, decisions.on_entry(self.core, entry, now))
             if entry.envelope.writer == self.core.members.incarnation:
                 self.log_link.resolve(entry.envelope.seq)
         if at_end:
-            self._told(now, {"kind": "read", "asked_at": asked_at})
+            self._trace_input(now, {"kind": "read", "asked_at": asked_at})
             decisions.on_log_read(self.core, asked_at)
             self._caught_up = True
 
     @handler("log_failed", channel="*")
     def _on_log_failed(self) -> None:
         now = time.monotonic()
-        self._told(now, {"kind": "log-failed"})
+        self._trace_input(now, {"kind": "log-failed"})
         decisions.on_log_failed(self.core, now)
         self._metrics.incr("log.failed")
 
     @handler("snapshot_read", channel="*")
     def _on_snapshot_read(self, snapshot: Snapshot) -> None:
-        self._take_snapshot(snapshot)
+        self._apply_snapshot(snapshot)
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
         if self.config.adopt(snapshot.config_version, snapshot.config_toml):
             self._apply_config()
         if snapshot.ledger.offset <= self.core.ledger.offset:
             return
         now = time.monotonic()
-        told = trace.told_ledger(snapshot.ledger) if self.recorder else {}
-        self._decided(now, told, decisions.replace_ledger(self.core, snapshot.ledger, now))
+        traced = trace.told_ledger(snapshot.ledger) if self.recorder else {}
+        self._carry_out(now, traced, decisions.replace_ledger(self.core, snapshot.ledger, now))
         self.log_link.skip_to(snapshot.ledger.offset)
         writer = snapshot.ledger.writers.get(self.core.members.incarnation)
         if writer is not None:
@@ -198,21 +196,21 @@
     @handler("config_read", channel="*")
     def _on_config_read(self, records: list[ConfigEntry]) -> None:
         for entry in records:
-            if self.config.offer(entry):
+            if self.config.apply_entry(entry):
                 self._apply_config()
 
     def _apply_config(self) -> None:
         self.core.policy = policy.parse(self.config.toml).value_or(self.core.policy)
         self.core.config_version = self.config.version
-        told = {"kind": "config", "version": self.config.version, "toml": self.config.toml}
-        self._told(time.monotonic(), told)
+        traced = {"kind": "config", "version": self.config.version, "toml": self.config.toml}
+        self._trace_input(time.monotonic(), traced)
         self._metrics.gauge("config.version", self.config.version)
         log("config.applied", instance=self.core.members.me, version=self.config.version)
 
     @handler("fleet_listed", channel="*")
     def _on_fleet_listed(self, instances: list[Instance]) -> None:
         now = time.monotonic()
-        self._told(now, trace.told_list(instances) if self.recorder else {})
+        self._trace_input(now, trace.told_list(instances) if self.recorder else {})
         membership.on_list(self.core.members, instances, now)
         addresses = {}
         entries = 0
@@ -223,36 +221,36 @@
                 entries += 1
                 addresses[instance.id] = instance.peer_address
         self.peers.know(addresses)
-        self.log_link.interval_s = max(1, entries) / APPENDS_PER_S
+        self.log_link.interval_s = max(1, entries) / MAX_APPENDS_PER_S
 
     @handler("worker_reported", channel="*")
     def _on_worker_reported(self, server: InstanceId, report: Report, sent_at: float) -> None:
         now = time.monotonic()
-        told = trace.told_report(server, report, sent_at) if self.recorder else {}
-        self._decided(now, told, decisions.on_report(self.core, server, report, sent_at, now))
+        traced = trace.told_report(server, report, sent_at) if self.recorder else {}
+        self._carry_out(now, traced, decisions.on_report(self.core, server, report, sent_at, now))
 
     @handler("worker_refused", channel="*")
     def _on_worker_refused(self, server: InstanceId, refused: Refused) -> None:
         now = time.monotonic()
-        told = trace.told_refused(server, refused) if self.recorder else {}
-        self._decided(now, told, decisions.on_refused(self.core, server, refused, now))
+        traced = trace.told_refused(server, refused) if self.recorder else {}
+        self._carry_out(now, traced, decisions.on_refused(self.core, server, refused, now))
 
     @handler("worker_silent", channel="*")
     def _on_worker_silent(self, server: InstanceId) -> None:
         now = time.monotonic()
-        self._told(now, {"kind": "silent", "server": server})
+        self._trace_input(now, {"kind": "silent", "server": server})
         decisions.on_silence(self.core, server, now)
 
     @handler("peer_heard", channel="*")
     def _on_peer_heard(self, frame: Frame) -> None:
         match frame.message:
             case Heartbeat() as beat:
-                self._on_beat(beat)
+                self._on_heartbeat(beat)
             case HandoverNote() as note:
                 now = time.monotonic()
-                told = {"kind": "handover", **note._asdict()}
-                taken = tenure.on_handover(self.core, note.server, note.epoch, note.busy, now)
-                self._decided(now, told, taken)
+                traced = {"kind": "handover", **note._asdict()}
+                actions = tenure.on_handover(self.core, note.server, note.epoch, note.busy, now)
+                self._carry_out(now, traced, actions)
             case Query() as query:
                 self._answer(frame.sender, query)
             case Answer() as answer:
@@ -262,9 +260,9 @@
             case _:
                 pass
 
-    def _on_beat(self, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, beat: Heartbeat) -> None:
         now = time.monotonic()
-        self._told(now, trace.told_beat(beat) if self.recorder else {})
+        self._trace_input(now, trace.told_beat(beat) if self.recorder else {})
         if not decisions.on_heartbeat(self.core, beat, now):
             return
         if beat.config_version > self.config.version:
@@ -277,20 +275,20 @@
         if self.config.adopt(version, toml):
             self._apply_config()
 
-    def _beat(self) -> None:
-        self._timers.after(self.core.policy.membership.heartbeat_s, self._beat)
+    def _send_periodic_heartbeat(self) -> None:
+        self._timers.after(self.core.policy.membership.heartbeat_s, self._send_periodic_heartbeat)
         every = max(1, round(self._far_ratio()))
-        self._send_beat(everyone=self._seq % every == 0)
+        self._send_heartbeat(all_zones=self._seq % every == 0)
 
-    def _send_beat(self, everyone: bool) -> None:
+    def _send_heartbeat(self, all_zones: bool) -> None:
         self._seq += 1
         beat = self._heartbeat(time.monotonic())
         near: list[InstanceId] = []
         far: list[InstanceId] = []
         for instance in membership.other_entries(self.core.members):
-            same = instance.availability_zone == self.core.members.zone
-            (near if same else far).append(instance.id)
-        self.peers.tell_many(near + (far if everyone else []), beat)
+            same_zone = instance.availability_zone == self.core.members.zone
+            (near if same_zone else far).append(instance.id)
+        self.peers.tell_many(near + (far if all_zones else []), beat)
 
     def _far_ratio(self) -> float:
         members = self.core.policy.membership
@@ -313,33 +311,31 @@
             echoes=membership.echoes(members, now),
         )
 
-    def _tell_learnt(self) -> None:
-        """Tell the peers what we learnt, so that nobody and no successor starts anew."""
+    def _publish_learned(self) -> None:
+        """Publish the learned estimates to the peers, so that no successor starts without them."""
         text = json.dumps(self.core.learnt.tell(time.monotonic()))
-        peers = [one.id for one in membership.other_entries(self.core.members)]
-        self.peers.tell_many(peers, Query(0, WHAT_LEARNT, text))
+        peers = [entry.id for entry in membership.other_entries(self.core.members)]
+        self.peers.tell_many(peers, Query(0, WHAT_LEARNED, text))
 
-    def _hear_learnt(self, text: str) -> str:
+    def _merge_learned(self, text: str) -> str:
         pairs, uses = json.loads(text)
-        lesson = Lesson([Told(*one) for one in pairs], [ToldUse(*one) for one in uses])
+        lesson = Lesson([Told(*pair) for pair in pairs], [ToldUse(*use) for use in uses])
         self.core.learnt.hear(lesson, time.monotonic())
         return ""
 
-    def ask(
-        self, peer: InstanceId, what: str, text: str, done: Callable[[str | None], None]
-    ) -> None:
-        """Ask a peer; `done` gets JSON text, or None when no answer came."""
+    def ask(self, to: InstanceId, what: str, text: str, done: Callable[[str | None], None]) -> None:
+        """Query the peer `to`; call `done` with JSON text, or with None if no answer arrives."""
         self._query_count += 1
         number = self._query_count
-        if not self.peers.tell(peer, Query(number, what, text)):
+        if not self.peers.tell(to, Query(number, what, text)):
             done(None)
             return
         self._queries[number] = done
 
         def expire() -> None:
-            late = self._queries.pop(number, None)
-            if late is not None:
-                late(None)
+            pending = self._queries.pop(number, None)
+            if pending is not None:
+                pending(None)
 
         self._timers.after(_QUERY_TIMEOUT_S, expire)
 
@@ -351,9 +347,9 @@
         if text:
             self.peers.tell(peer, Answer(query.number, text))
 
-    def _ask_state(self, now: float) -> None:
-        """While the log cannot be read, take the ledger of a peer that is ahead."""
-        if self.core.situation(now).log_ok or now - self._state_asked_at < _STATE_AGAIN_S:
+    def _query_state(self, now: float) -> None:
+        """While the log cannot be read, request the ledger of a peer that is ahead."""
+        if self.core.situation(now).log_ok or now - self._state_asked_at < _STATE_QUERY_INTERVAL_S:
             return
         ahead = [
             peer.beat
@@ -374,24 +370,24 @@
         if snapshot is None:
             return
         self._metrics.incr("state.from-peer")
-        self._take_snapshot(snapshot)
+        self._apply_snapshot(snapshot)
         self._caught_up = True
 
     def _snapshot(self) -> Snapshot:
         return Snapshot(self.core.ledger, self.config.version, self.config.toml)
 
-    def _watch_snapshot(self) -> None:
+    def _write_snapshot_if_due(self) -> None:
         now = time.monotonic()
-        period_s = min(_SNAPSHOT_S, self.log_link.retention_s / 4)
+        period_s = min(_MAX_SNAPSHOT_INTERVAL_S, self.log_link.retention_s / 4)
         if now - self._snapshot_at < period_s or not self.core.situation(now).log_ok:
             return
         if not self.ready or not self.core.ledger.offset:
             return
         alive = [
-            one.id
-            for one in self.core.members.listed.values()
-            if one.role is Role.ENTRY
-            and membership.is_alive(self.core.members, one.id, self.core.policy, now)
+            entry.id
+            for entry in self.core.members.listed.values()
+            if entry.role is Role.ENTRY
+            and membership.is_alive(self.core.members, entry.id, self.core.policy, now)
         ]
         if ownership.preferred("snapshot", alive) == self.core.members.me:
             self._snapshot_at = now
--- a/spoolcrank/events.py
+++ b/spoolcrank/events.py
@@ -4,7 +4,7 @@
 
 
 class log_read(Event):
-    """Records arrived: `(entries: list[Entry], asked_at: float, at_end: bool)`."""
+    """Records of the log arrived: `(entries: list[Entry], asked_at: float, at_end: bool)`."""
 
 
 class log_failed(Event):
@@ -24,7 +24,7 @@
 
 
 class peer_heard(Event):
-    """A message of a peer arrived: `(frame: Frame,)`."""
+    """A message from a peer arrived: `(frame: Frame,)`."""
 
 
 class peer_lost(Event):
@@ -32,12 +32,12 @@
 
 
 class worker_reported(Event):
-    """A worker obeyed: `(server: InstanceId, report: Report, sent_at: float)`."""
+    """A worker carried out a command: `(server: InstanceId, report: Report, sent_at: float)`."""
 
 
 class worker_refused(Event):
-    """A worker said no: `(server: InstanceId, refused: Refused)`."""
+    """A worker refused a command: `(server: InstanceId, refused: Refused)`."""
 
 
 class worker_silent(Event):
-    """A worker did not answer: `(server: InstanceId,)`."""
+    """A worker did not answer a command: `(server: InstanceId,)`."""
--- a/spoolcrank/job_index.py
+++ b/spoolcrank/job_index.py
@@ -1,4 +1,4 @@
-"""Answer for jobs from the copy of the log: where each stands, how many wait."""
+"""Index the jobs of the log: the phase of each and the number that wait."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,30 +9,33 @@
 from spoolcrank.workflow import FINAL, JobPhase, RouteName, decode_job, stored_phase
 
 
-def _pass_over(record: KeyedRecord, why: str) -> None:
-    """Leave a record out where nobody asks to be told."""
+def _ignore_unreadable(record: KeyedRecord, why: str) -> None:
+    """Ignore an unreadable record; the default of `JobIndex`."""
 
 
 @dataclass(slots=True)
-class _Standing:
+class _JobStatus:
     route: RouteName | None = None
     phase: JobPhase = JobPhase.PENDING
     cancelled: bool = False
 
 
 class JobIndex:
-    """What every instance knows of each job, from the records alone.
+    """The route and phase of each job, derived from the records of the log.
 
     Args:
-        on_unreadable: told of each record that cannot be read, and why; it changes nothing.
+        on_unreadable: called with each record that cannot be decoded, and the reason; such a
+            record leaves the index unchanged.
     """
 
-    def __init__(self, on_unreadable: Callable[[KeyedRecord, str], None] = _pass_over) -> None:
+    def __init__(
+        self, on_unreadable: Callable[[KeyedRecord, str], None] = _ignore_unreadable
+    ) -> None:
         self._on_unreadable = on_unreadable
-        self._jobs: dict[JobId, _Standing] = {}
+        self._jobs: dict[JobId, _JobStatus] = {}
 
     def take(self, record: KeyedRecord) -> None:
-        """Take one record; records may come again."""
+        """Apply one record; applying it again has no effect."""
         kind = kind_of(record.key)
         if kind not in (RecordKind.JOB, RecordKind.CANCEL, RecordKind.PROGRESS):
             return
@@ -41,36 +44,36 @@
             if kind is RecordKind.JOB:
                 self._jobs.pop(job, None)
             return
-        standing = self._jobs.get(job) or _Standing()
+        status = self._jobs.get(job) or _JobStatus()
         try:
-            _apply(standing, kind, record.value)
+            _update_status(status, kind, record.value)
         except Unreadable as exc:
             self._on_unreadable(record, str(exc))
             return
-        self._jobs[job] = standing
+        self._jobs[job] = status
 
     def phase(self, job: JobId) -> JobPhase | None:
-        """Return where a job stands, or None for one that was never accepted."""
-        standing = self._jobs.get(job)
-        if standing is None or standing.route is None:
+        """Return the phase of a job, or None if the index has no such accepted job."""
+        status = self._jobs.get(job)
+        if status is None or status.route is None:
             return None
-        if standing.cancelled and standing.phase not in FINAL:
+        if status.cancelled and status.phase not in FINAL:
             return JobPhase.CANCELLED
-        return standing.phase
+        return status.phase
 
     def waiting(self, route: RouteName) -> int:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return the number of accepted jobs of a queue that are pending and not cancelled."""
         return sum(
             1
-            for one in self._jobs.values()
-            if one.route == route and one.phase is JobPhase.PENDING and not one.cancelled
+            for job in self._jobs.values()
+            if job.route == route and job.phase is JobPhase.PENDING and not job.cancelled
         )
 
 
-def _apply(standing: _Standing, kind: RecordKind | None, value: bytes) -> None:
+def _update_status(status: _JobStatus, kind: RecordKind | None, value: bytes) -> None:
     if kind is RecordKind.JOB:
-        standing.route = decode_job(value).route
+        status.route = decode_job(value).route
     elif kind is RecordKind.PROGRESS:
-        standing.phase = stored_phase(value)
+        status.phase = stored_phase(value)
     else:
-        standing.cancelled = True
+        status.cancelled = True
--- a/spoolcrank/job_intake.py
+++ b/spoolcrank/job_intake.py
@@ -1,7 +1,8 @@
-"""Take jobs and wishes to cancel in at any instance, and say where jobs stand.
+"""Accept jobs and cancel requests at any instance, and report the state of jobs.
 
-A job is accepted once its record is on the log. Until a store's answer says otherwise, a
-record that was sent may be on it, now or later; then the job is neither accepted nor refused.
+A job is accepted once its record is on the log. A record that was sent may be on the log now or
+later, until an answer of the store rules that out; until then the job is neither accepted nor
+refused.
 """
 
 from collections.abc import Callable
@@ -18,51 +19,52 @@
 from spoolcrank.store_port import CALL_S, Append, Appended, AppendOutcome, LogPort
 from spoolcrank.workflow import FINAL, JobPhase, JobRecord, RouteName, encode
 
-Told = TypeVar("Told")
+Answer = TypeVar("Answer")
 
-GATHER_S = 0.002
-"""Records that come within so long share an append, s; half of the store's answer time."""
+BATCH_DELAY_S = 0.002
+"""The time for which records are collected into one append, seconds: half of the store's answer
+time."""
 
-RETRY_S = 0.08
-"""After an append that the store turned away, s."""
+RETRY_DELAY_S = 0.08
+"""The delay before the next append after one that was not stored, seconds."""
 
-KEEP_TRYING_S = 0.03
-"""A record that the store surely did not take is given up after so long, s: the client is told
-at once when to come back, and its next attempt reaches another instance."""
+MAX_RETRY_S = 0.03
+"""The age up to which a record that is certainly not stored is sent again, seconds. Failing early
+tells the client at once when to retry, and its next attempt reaches another instance."""
 
-STUCK_S = 0.6
-"""While an append has no answer for so long, s, new jobs are refused unsent: they would only
-wait behind it; a slow store answers in 0.4 s."""
+STALLED_APPEND_S = 0.6
+"""The time without an answer to an append after which new jobs are refused unsent, seconds: they
+would only wait behind that append. A slow store answers in 0.4 s."""
 
 UNSURE_S = 1.8
-"""A record that may be on the log is given up as unknown within so long, s: two calls, the pause
-between them and 0.1 s for a loop that is late."""
+"""The time limit for the outcome of a record that may be on the log, after which it is reported as
+unknown, seconds: two calls, the pause between them and 0.1 s for a delayed event loop."""
 
-LAST_SEND_S = UNSURE_S - CALL_S
-"""A record is not sent later than so long after it came, s: its answer could come after
-`UNSURE_S`."""
+MAX_SEND_AGE_S = UNSURE_S - CALL_S
+"""The age up to which a record may be sent, seconds: the answer to a later call could come after
+`APPEND_TIMEOUT_S`."""
 
 READ_S = 1.8
-"""A question that needs the store is given up after so long, s: the call under way when it came,
-its own, and 0.2 s for the parts of a long answer."""
+"""The time limit for a query that needs the store, seconds: the call already in flight, the query's
+own call, and 0.2 s for the parts of a long answer."""
 
 LONGEST_ANSWER_S = max(UNSURE_S, READ_S)
-"""Whatever was passed to the store has its answer after so long, s; a planned stop counts on it.
-A wish to cancel a job that had to be read first is not sent any more once intake has ended."""
+"""The time limit for the answer to anything passed to the store, seconds; a planned stop relies on
+it. Once intake has ended, a cancel request whose job had to be read first is no longer sent."""
 
-FRESH_S = 0.05
-"""A copy read so recently answers without another read, s."""
+MAX_STATE_AGE_S = 0.05
+"""The age up to which the copy answers for the state of a job without another read, seconds."""
 
-COUNT_S = 1.8
-"""A count of waiting jobs is told from a copy that is so old at most, s; one may be 2 s old, by the
-platform's word. Reads of one that does not lead come within 1.1 s."""
+MAX_COUNT_AGE_S = 1.8
+"""The age up to which the copy answers for a count of waiting jobs, seconds. The platform allows a
+count to be 2 s old; the reads of an instance that does not lead follow within 1.1 s."""
 
-MAX_BATCH_BYTES = 1 << 20
-"""Of one append, bytes; half of what the store takes."""
+MAX_APPEND_BYTES = 1 << 20
+"""The size at which an append takes no further record, bytes: half of the store's limit."""
 
 
 class IntakeOutcome(Enum):
-    """What became of a record that a client asked to be kept."""
+    """The outcome of a record that a client asked to store."""
 
     KEPT = "kept"
     NOT_KEPT = "not-kept"
@@ -74,12 +76,12 @@
 class _Pending:
     record: KeyedRecord
     done: Callable[[IntakeOutcome], None]
-    since: float
-    unsure: bool = False
+    received_at: float
+    unconfirmed: bool = False
 
 
 class JobIntake:
-    """Keeps jobs and wishes to cancel for the clients of one instance."""
+    """The intake of jobs and cancel requests from the clients of one instance."""
 
     def __init__(
         self,
@@ -95,32 +97,32 @@
         self._timers = timers
         self._clock = clock
         self._pending: list[_Pending] = []
-        self._flying = False
-        self._flying_since = 0.0
-        self._gathering = False
+        self._append_in_flight = False
+        self._append_sent_at = 0.0
+        self._send_scheduled = False
         self._ended = False
 
     def end(self) -> None:
-        """Pass nothing more to the store but what was passed on; answer what is known here."""
+        """Send no further records or queries to the store; answer only from the local copy."""
         self._ended = True
 
     def submit(self, job: JobId, record: JobRecord, done: Callable[[IntakeOutcome], None]) -> None:
-        """Keep a job; the same id again is the same job."""
+        """Store a job; submitting the same id again refers to the same job."""
         if self._index.phase(job) is not None:
             done(IntakeOutcome.KEPT)
             return
         if self._ended:
             done(IntakeOutcome.LEAVING)
             return
-        if not self._follower.contact or self._stuck():
+        if not self._follower.contact or self._is_stalled():
             done(IntakeOutcome.NOT_KEPT)
             return
-        self._keep(KeyedRecord(job_key(job), encode(record)), done)
+        self._store(KeyedRecord(job_key(job), encode(record)), done)
 
     def cancel(self, job: JobId, done: Callable[[IntakeOutcome | ErrorKind], None]) -> None:
-        """Keep the wish to cancel a job."""
+        """Store the request to cancel a job."""
 
-        def known(phase: JobPhase | ErrorKind) -> None:
+        def on_phase(phase: JobPhase | ErrorKind) -> None:
             if isinstance(phase, ErrorKind):
                 done(phase)
             elif phase in FINAL:
@@ -128,126 +130,129 @@
             elif self._ended:
                 done(IntakeOutcome.LEAVING)
             else:
-                self._keep(KeyedRecord(cancel_key(job), b"1"), done)
+                self._store(KeyedRecord(cancel_key(job), b"1"), done)
 
         if self._index.phase(job) is not None:
-            known(self._index.phase(job) or JobPhase.PENDING)
+            on_phase(self._index.phase(job) or JobPhase.PENDING)
         else:
-            self.state(job, known)
+            self.state(job, on_phase)
 
     def state(self, job: JobId, done: Callable[[JobPhase | ErrorKind], None]) -> None:
-        """Tell where a job stands now, from a copy read after the question came."""
+        """Report the phase of a job; refresh the copy first if it is older than `MAX_STATE_AGE_S`.
+
+        A final phase is reported without a refresh, and a known phase also if the refresh fails.
+        """
         phase = self._index.phase(job)
-        if phase is not None and (self._follower.is_fresh(FRESH_S) or phase in FINAL):
+        if phase is not None and (self._follower.is_fresh(MAX_STATE_AGE_S) or phase in FINAL):
             done(phase)
             return
         if self._ended:
             done(ErrorKind.LEAVING)
             return
-        tell = self._within(done)
+        report = self._with_timeout(done)
 
         def refreshed(ok: bool) -> None:
             newer = self._index.phase(job)
             if newer is not None:
-                tell(newer)
+                report(newer)
             else:
-                tell(ErrorKind.NO_SUCH_JOB if ok else ErrorKind.LOG_UNAVAILABLE)
+                report(ErrorKind.NO_SUCH_JOB if ok else ErrorKind.LOG_UNAVAILABLE)
 
         self._follower.refresh(refreshed)
 
     def waiting(self, route: RouteName, done: Callable[[int | ErrorKind], None]) -> None:
-        """Tell how many accepted jobs of a queue have not begun, by a copy that is new enough."""
-        if self._ended and not self._follower.is_fresh(COUNT_S):
+        """Report how many jobs of a queue wait, from a copy no older than `MAX_COUNT_AGE_S`."""
+        if self._ended and not self._follower.is_fresh(MAX_COUNT_AGE_S):
             done(ErrorKind.LEAVING)
             return
 
         def confirmed(ok: bool) -> None:
-            tell(self._index.waiting(route) if ok else ErrorKind.LOG_UNAVAILABLE)
+            report(self._index.waiting(route) if ok else ErrorKind.LOG_UNAVAILABLE)
 
-        tell = self._within(done)
-        self._follower.confirm(COUNT_S, confirmed)
+        report = self._with_timeout(done)
+        self._follower.confirm(MAX_COUNT_AGE_S, confirmed)
 
-    def _within(
-        self, done: Callable[[Told | ErrorKind], None]
-    ) -> Callable[[Told | ErrorKind], None]:
-        """Return what tells `done` once; where nobody uses it within `READ_S`, that it failed.
+    def _with_timeout(
+        self, done: Callable[[Answer | ErrorKind], None]
+    ) -> Callable[[Answer | ErrorKind], None]:
+        """Return a callback that calls `done` once; after `READ_TIMEOUT_S` it reports a failure.
 
-        A refresh reads on while records come, so it has no end of its own.
+        The timeout is needed because a refresh continues for as long as new records arrive.
         """
-        told = False
+        reported = False
 
-        def tell(answer: Told | ErrorKind) -> None:
-            nonlocal told
-            if not told:
-                told = True
+        def report(answer: Answer | ErrorKind) -> None:
+            nonlocal reported
+            if not reported:
+                reported = True
                 done(answer)
 
-        self._timers.after(READ_S, lambda: tell(ErrorKind.LOG_UNAVAILABLE))
-        return tell
+        self._timers.after(READ_S, lambda: report(ErrorKind.LOG_UNAVAILABLE))
+        return report
 
-    def _stuck(self) -> bool:
-        return self._flying and self._clock() - self._flying_since >= STUCK_S
+    def _is_stalled(self) -> bool:
+        return self._append_in_flight and self._clock() - self._append_sent_at >= STALLED_APPEND_S
 
-    # Keeping records
+    # Storing records
 
-    def _keep(self, record: KeyedRecord, done: Callable[[IntakeOutcome], None]) -> None:
+    def _store(self, record: KeyedRecord, done: Callable[[IntakeOutcome], None]) -> None:
         self._pending.append(_Pending(record, done, self._clock()))
-        if not self._gathering and not self._flying:
-            self._gathering = True
-            self._timers.after(GATHER_S, self._send)
+        if not self._send_scheduled and not self._append_in_flight:
+            self._send_scheduled = True
+            self._timers.after(BATCH_DELAY_S, self._send)
 
     def _send(self) -> None:
-        self._gathering = False
-        if self._flying:
+        self._send_scheduled = False
+        if self._append_in_flight:
             return
-        self._give_up_late(self._clock())
+        self._fail_expired(self._clock())
         if not self._pending:
             return
         batch: list[_Pending] = []
         size = 0
-        while self._pending and (not batch or size < MAX_BATCH_BYTES):
+        while self._pending and (not batch or size < MAX_APPEND_BYTES):
             batch.append(self._pending.pop(0))
             size += len(batch[-1].record.value)
-        self._flying = True
-        self._flying_since = self._clock()
-        append = Append([one.record for one in batch])
-        self._log.append(append, lambda got: self._on_appended(batch, got))
-
-    def _on_appended(self, batch: list[_Pending], got: Appended) -> None:
-        self._flying = False
-        if got.outcome is AppendOutcome.KEPT:
-            for place, one in enumerate(batch):
-                record = one.record._replace(offset=got.offset + place)
+        self._append_in_flight = True
+        self._append_sent_at = self._clock()
+        append = Append([pending.record for pending in batch])
+        self._log.append(append, lambda appended: self._on_appended(batch, appended))
+
+    def _on_appended(self, batch: list[_Pending], appended: Appended) -> None:
+        self._append_in_flight = False
+        if appended.outcome is AppendOutcome.KEPT:
+            for position, pending in enumerate(batch):
+                record = pending.record._replace(offset=appended.offset + position)
                 self._follower.copy.apply(record)
                 self._index.take(record)
-                one.done(IntakeOutcome.KEPT)
+                pending.done(IntakeOutcome.KEPT)
         else:
-            self._try_again(batch, got)
-        if self._pending and not self._gathering:
-            self._gathering = True
-            delay_s = GATHER_S if got.outcome is AppendOutcome.KEPT else RETRY_S
+            self._try_again(batch, appended)
+        if self._pending and not self._send_scheduled:
+            self._send_scheduled = True
+            delay_s = BATCH_DELAY_S if appended.outcome is AppendOutcome.KEPT else RETRY_DELAY_S
             self._timers.after(delay_s, self._send)
 
-    def _try_again(self, batch: list[_Pending], got: Appended) -> None:
+    def _try_again(self, batch: list[_Pending], appended: Appended) -> None:
         now = self._clock()
-        left = []
-        for one in batch:
-            one.unsure = one.unsure or got.outcome is AppendOutcome.UNKNOWN
+        retried = []
+        for pending in batch:
+            pending.unconfirmed = pending.unconfirmed or appended.outcome is AppendOutcome.UNKNOWN
             # Two calls without an answer took 1.68 s; a third would have ended after 2.56 s.
-            may_send = now + RETRY_S - one.since <= LAST_SEND_S
-            if may_send if one.unsure else now - one.since < KEEP_TRYING_S:
-                left.append(one)
+            may_send = now + RETRY_DELAY_S - pending.received_at <= MAX_SEND_AGE_S
+            if may_send if pending.unconfirmed else now - pending.received_at < MAX_RETRY_S:
+                retried.append(pending)
             else:
-                _give_up(one)
-        self._pending = left + self._pending
+                _fail(pending)
+        self._pending = retried + self._pending
 
-    def _give_up_late(self, now: float) -> None:
-        """Answer what waited for earlier appends until its own could not end in time."""
-        late = [one for one in self._pending if now - one.since > LAST_SEND_S]
-        self._pending = [one for one in self._pending if now - one.since <= LAST_SEND_S]
-        for one in late:
-            _give_up(one)
+    def _fail_expired(self, now: float) -> None:
+        """Fail records that waited for earlier appends until their own could not end in time."""
+        late = [item for item in self._pending if now - item.received_at > MAX_SEND_AGE_S]
+        self._pending = [item for item in self._pending if now - item.received_at <= MAX_SEND_AGE_S]
+        for item in late:
+            _fail(item)
 
 
-def _give_up(one: _Pending) -> None:
-    one.done(IntakeOutcome.UNKNOWN if one.unsure else IntakeOutcome.NOT_KEPT)
+def _fail(pending: _Pending) -> None:
+    pending.done(IntakeOutcome.UNKNOWN if pending.unconfirmed else IntakeOutcome.NOT_KEPT)
--- a/spoolcrank/keyed_log.py
+++ b/spoolcrank/keyed_log.py
@@ -1,7 +1,7 @@
-"""Keep a copy of a keyed log: the newest value of each key, by offset.
+"""Hold a copy of a keyed log: the newest value of each key, with its offset.
 
-The log is the only place where anything lasts. Every record holds the whole new value of its
-key, so that applying one twice, or only the newest, gives the same state.
+The log is the only durable storage. Every record holds the complete new value of its key, so
+applying a record twice, or only the newest record of a key, gives the same state.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class RecordKind(Enum):
-    """What a key of the scheduler's log is about."""
+    """The kinds of keys in the scheduler's log; a value is the key or its prefix."""
 
     JOB = _JOB
     CANCEL = _CANCEL
@@ -30,14 +30,15 @@
 
 
 LEADERS_OWN = frozenset({RecordKind.PROGRESS, RecordKind.LEARNT})
-"""Only the leader writes these. Each confirms its writes, from which it extends leases; one that
-others did not count would have a successor take leases as passed up to a heartbeat too early."""
+"""The kinds that only the leader writes. Each such record confirms a write from which the leader
+extends leases. If other instances did not count one, a successor would treat leases as expired up
+to one heartbeat too early."""
 
 _SINGLE_KEYS = frozenset({LEADER_KEY, LEARNT_KEY, OFFER_KEY})
 
 
 class KeyedRecord(NamedTuple):
-    """One record: an empty value drops the key."""
+    """One record of the log; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -50,7 +51,7 @@
 
 
 def cancel_key(job: JobId) -> str:
-    """Return the key of the wish to cancel a job."""
+    """Return the key of the request to cancel a job."""
     return _CANCEL + job
 
 
@@ -60,7 +61,7 @@
 
 
 def kind_of(key: str) -> RecordKind | None:
-    """Return what a key is about; None for one that a newer version may have written."""
+    """Return the kind of a key, or None for an unknown key, such as one of a newer version."""
     if key in _SINGLE_KEYS:
         return RecordKind(key)
     for kind in (RecordKind.JOB, RecordKind.CANCEL, RecordKind.PROGRESS):
@@ -70,12 +71,12 @@
 
 
 def job_of_key(key: str) -> JobId:
-    """Return the job that a key of a job is about."""
+    """Return the job of a job, cancel or progress key."""
     return JobId(key[2:])
 
 
 class KeyedLog:
-    """A copy of the log, complete up to `next_offset` once `loaded`."""
+    """A copy of the log, complete up to `next_offset` once `loaded` is set."""
 
     def __init__(self) -> None:
         self.newest: dict[str, KeyedRecord] = {}
@@ -85,25 +86,25 @@
         self._listed: set[str] = set()
 
     def reset(self) -> None:
-        """Forget that the copy is complete; its values stay until it is again."""
+        """Mark the copy as incomplete; its values stay until the next load completes."""
         self.loaded = False
         self._listed = set()
 
     def load_page(self, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
-        """Take newest-of-key records, in any order; returns them."""
+        """Apply the newest records of some keys, in any order, and return them."""
         page = list(records)
-        for one in page:
-            self.apply(one)
-            self._listed.add(one.key)
+        for record in page:
+            self.apply(record)
+            self._listed.add(record.key)
         return page
 
     def loaded_to(self, end: int) -> None:
-        """Mark the copy as complete up to `end`, where the first page began.
+        """Mark the copy as complete up to `end`, the end of the log at the first page.
 
-        Keys that were not listed, and have no later record, are not there any more.
+        Remove keys that were not listed and have no later record: the log no longer has them.
         """
-        for key, held in list(self.newest.items()):
-            if key not in self._listed and held.offset < end:
+        for key, record in list(self.newest.items()):
+            if key not in self._listed and record.offset < end:
                 del self.newest[key]
         self.loaded = True
         self.next_offset = end
@@ -111,36 +112,36 @@
     def extend(
         self, records: Iterable[KeyedRecord], end: int, asked_at: float
     ) -> list[KeyedRecord]:
-        """Take the records that follow `next_offset`; returns those not read before.
+        """Apply the records that follow `next_offset` and return those not read before.
 
         Args:
-            records: with ascending offsets; perhaps not all that there are.
-            end: where the log ended then.
-            asked_at: when the read was sent; once the copy reaches `end`, everything that was
-                written before it is in the copy.
+            records: records in ascending order of offset, possibly not up to the end of the log.
+            end: end of the log at the time of the read.
+            asked_at: time at which the read was sent; once the copy reaches `end`, it contains
+                every record written before that time.
         """
-        news = []
-        for one in records:
-            if one.offset >= self.next_offset:
-                self.next_offset = one.offset + 1
-                news.append(one)
-            self.apply(one)
+        new_records = []
+        for record in records:
+            if record.offset >= self.next_offset:
+                self.next_offset = record.offset + 1
+                new_records.append(record)
+            self.apply(record)
         if self.next_offset >= end:
             self.read_at = max(self.read_at, asked_at)
-        return news
+        return new_records
 
     def apply(self, record: KeyedRecord) -> None:
-        """Take one record whose offset is known, unless a newer one of its key is held."""
-        held = self.newest.get(record.key)
-        if held is None or held.offset < record.offset:
+        """Apply a record whose offset is known, unless the copy has a newer one of its key."""
+        newest = self.newest.get(record.key)
+        if newest is None or newest.offset < record.offset:
             self.newest[record.key] = record
 
     def value(self, key: str) -> bytes:
         """Return the newest value of a key; empty if there is none."""
-        held = self.newest.get(key)
-        return held.value if held is not None else b""
+        record = self.newest.get(key)
+        return record.value if record is not None else b""
 
     def offset(self, key: str) -> int:
         """Return the offset of the newest value of a key, or -1."""
-        held = self.newest.get(key)
-        return held.offset if held is not None and held.value else -1
+        record = self.newest.get(key)
+        return record.offset if record is not None and record.value else -1
--- a/spoolcrank/log_follower.py
+++ b/spoolcrank/log_follower.py
@@ -7,44 +7,45 @@
 from spoolcrank.keyed_log import KeyedLog, KeyedRecord
 from spoolcrank.store_port import LogPort, NewestPage, ReadOutcome, Records
 
-EAGER_GAP_S = 0.004
-"""An eager follower reads on after so long, s; what comes close together costs one read."""
+EAGER_READ_DELAY_S = 0.004
+"""The delay before the next read of an eager follower, seconds. It lets records that arrive close
+together share one read."""
 
 LAZY_GAP_S = 0.3
-"""A lazy follower reads on after so long, s; a state may be asked for at any time, and then it
-reads at once."""
+"""The delay before the next read of a lazy follower, seconds. A query for the state of a job makes
+it read at once."""
 
-WAIT_MS = 700
-"""A read waits so long for a record, ms; with the store's call time below the 2 s in which a
-configuration must be in force."""
+READ_WAIT_MS = 700
+"""The time for which a read waits for a record, milliseconds. Together with the time limit of a
+store call it stays below the 2 s within which a configuration must be in force."""
 
-RETRY_S = 0.15
-"""After a read that failed, s."""
+RETRY_DELAY_S = 0.15
+"""The delay before the next read after a failed one, seconds."""
 
-MOVES_S = 1.0
-"""A log moves for so long after a read that brought several records, s; below the silence of a
-leader that others wait for before they claim."""
+ACTIVE_LOG_S = 1.0
+"""The time for which a log counts as active after a read that returned several records, seconds.
+It is shorter than the silence of a leader after which other instances claim the leadership."""
 
-News = Callable[[list[KeyedRecord]], None]
-OnError = Callable[[str], None]
-Refreshed = Callable[[bool], None]
+RecordsHandler = Callable[[list[KeyedRecord]], None]
+ErrorHandler = Callable[[str], None]
+RefreshHandler = Callable[[bool], None]
 
 
-def raise_again(trace: str) -> None:
-    """Let an error of whoever is told of news go on; the reading ends with it."""
+def reraise(trace: str) -> None:
+    """Reraise the error of a records handler, which ends the reading."""
     raise
 
 
 class LogFollower:
-    """Reads one keyed log into a copy and tells what is new.
+    """A follower of one keyed log, which reads it into a copy and reports new records.
 
     Args:
-        log: what is followed.
-        timers: of this process.
-        clock: monotonic seconds.
-        on_news: told of each part that was read.
-        on_contact: told when the store falls silent, and when it answers again.
-        on_error: told of an error of `on_news`, after which the reading goes on.
+        log: log to follow.
+        timers: timers of this process.
+        clock: returns the monotonic time, seconds.
+        on_records: called with the records of each read.
+        on_contact: called when the store stops answering and when it answers again.
+        on_error: called with the traceback of an error of `on_records`; reading then continues.
     """
 
     def __init__(
@@ -52,9 +53,9 @@
         log: LogPort,
         timers: Timers,
         clock: Callable[[], float],
-        on_news: News,
+        on_records: RecordsHandler,
         on_contact: Callable[[bool, str], None],
-        on_error: OnError = raise_again,
+        on_error: ErrorHandler = reraise,
     ) -> None:
         self.copy = KeyedLog()
         self.eager = False
@@ -63,54 +64,55 @@
         self._log = log
         self._timers = timers
         self._clock = clock
-        self._news = on_news
+        self._handle_records = on_records
         self._on_error = on_error
         self._on_contact = on_contact
         self._generation = 0
         self._page_end = -1
         self._reading = False
         self._refreshing = False
-        self._joins = False
-        self._moved_at = -MOVES_S
-        self._asked: list[Refreshed] = []
+        self._refresh_after_read = False
+        self._last_batch_at = -ACTIVE_LOG_S
+        self._refresh_requests: list[RefreshHandler] = []
 
     def begin(self) -> None:
-        """Start to follow, or start anew."""
+        """Start to follow the log, or restart from a full load."""
         self.pause()
         self._page_end = -1
         self._load("")
 
     def pause(self) -> None:
-        """Stop reading; the copy is out of date from now on."""
+        """Stop reading; the copy is out of date from then on."""
         self._generation += 1
         self.copy.reset()
         self._reading = False
-        if self._joins:
-            self._joins = False
-            self._answer(False)
+        if self._refresh_after_read:
+            self._refresh_after_read = False
+            self._answer_requests(False)
 
-    def refresh(self, done: Refreshed) -> None:
-        """Bring the copy up to now; `done` is told whether that worked."""
+    def refresh(self, done: RefreshHandler) -> None:
+        """Read the log up to its present end; call `done` with whether that succeeded."""
         if not self.copy.loaded:
             done(False)
             return
-        self._asked.append(done)
+        self._refresh_requests.append(done)
         if self._refreshing:
             return
-        if self._reading and self._clock() - self._moved_at <= MOVES_S:
-            # A read under way brings what there is; beside it all would come twice.
-            self._joins = True
+        if self._reading and self._clock() - self._last_batch_at <= ACTIVE_LOG_S:
+            # The read in flight returns the same records; a second read would fetch them twice.
+            self._refresh_after_read = True
         else:
-            self._refresh()
+            self._start_refresh()
 
     def is_fresh(self, age_s: float) -> bool:
-        """Tell whether the copy surely holds all that was written up to `age_s` ago."""
+        """Return whether the copy certainly contains all records written up to `age_s` ago."""
         return self._clock() - self.copy.read_at <= age_s
 
-    def confirm(self, age_s: float, done: Refreshed) -> None:
-        """Tell whether the copy holds all that was written up to `age_s` ago.
+    def confirm(self, age_s: float, done: RefreshHandler) -> None:
+        """Report whether the copy contains all records written up to `age_s` ago.
 
-        Where it may not, it is read again first; without the store it does not, at once.
+        If that is uncertain, refresh the copy first; report False at once if the store does not
+        answer.
         """
         if self.is_fresh(age_s):
             done(True)
@@ -119,10 +121,10 @@
         else:
             done(False)
 
-    def _on_news(self, records: list[KeyedRecord]) -> None:
-        # This stands in the answer of a read: with an error no other would ever be sent.
+    def _notify(self, records: list[KeyedRecord]) -> None:
+        # This runs in the callback of a read: an uncaught error would prevent the next read.
         try:
-            self._news(records)
+            self._handle_records(records)
         except Exception:
             self._on_error(traceback.format_exc())
 
@@ -139,27 +141,27 @@
         self._log.newest(after_key, loaded)
 
     def _on_page(self, page: NewestPage, after_key: str, asked_at: float) -> None:
-        self._tell_contact(page.ok, page.detail)
+        self._update_contact(page.ok, page.detail)
         if not page.ok:
-            self._later(RETRY_S, lambda: self._load(after_key))
+            self._schedule(RETRY_DELAY_S, lambda: self._load(after_key))
             return
         if self._page_end < 0:
             self._page_end = page.end
         records = self.copy.load_page(page.records)
         if page.more and page.records:
-            self._on_news(records)
+            self._notify(records)
             self._load(page.records[-1].key)
             return
         self.copy.loaded_to(self._page_end)
         self.copy.read_at = max(self.copy.read_at, asked_at)
-        self._on_news(records)
+        self._notify(records)
         self._read()
 
-    # Reading on
+    # Reading after the load
 
     def _read(self) -> None:
         if self._refreshing and not self.eager:
-            self._later(LAZY_GAP_S, self._read)
+            self._schedule(LAZY_GAP_S, self._read)
             return
         generation = self._generation
         asked_at = self._clock()
@@ -168,39 +170,39 @@
         def got(records: Records) -> None:
             if generation == self._generation:
                 self._reading = False
-                self._on_records(records, asked_at)
-                self._go_on_joined(records.outcome)
+                self._on_read(records, asked_at)
+                self._start_joined_refresh(records.outcome)
 
-        self._log.read(self.copy.next_offset, WAIT_MS, got)
+        self._log.read(self.copy.next_offset, READ_WAIT_MS, got)
 
-    def _go_on_joined(self, outcome: ReadOutcome) -> None:
-        """Go on with a refresh that waited for a read, once that has reached the log's end."""
-        if not self._joins or self._reading:
+    def _start_joined_refresh(self, outcome: ReadOutcome) -> None:
+        """Start a refresh that waited for a read, once that read has reached the end of the log."""
+        if not self._refresh_after_read or self._reading:
             return
-        self._joins = False
+        self._refresh_after_read = False
         if outcome is ReadOutcome.FAILED:
-            self._answer(False)
+            self._answer_requests(False)
         else:
-            self._refresh()
+            self._start_refresh()
 
-    def _on_records(self, got: Records, asked_at: float) -> None:
+    def _on_read(self, got: Records, asked_at: float) -> None:
         generation = self._generation
-        if not self._take(got, asked_at):
+        if not self._apply_read(got, asked_at):
             return
         if generation != self._generation:
             return
         if got.outcome is ReadOutcome.FAILED:
-            self._later(RETRY_S, self._read)
+            self._schedule(RETRY_DELAY_S, self._read)
         elif got.records and got.end > self.copy.next_offset:
             self._read()
         elif self.eager:
-            self._later(EAGER_GAP_S, self._read)
+            self._schedule(EAGER_READ_DELAY_S, self._read)
         else:
-            self._later(LAZY_GAP_S if got.records else 0.0, self._read)
+            self._schedule(LAZY_GAP_S if got.records else 0.0, self._read)
 
-    def _take(self, got: Records, asked_at: float) -> bool:
-        """Take a read's result; returns whether the copy still stands."""
-        self._tell_contact(got.outcome is not ReadOutcome.FAILED, got.detail)
+    def _apply_read(self, got: Records, asked_at: float) -> bool:
+        """Apply the result of a read and return whether the copy is still valid."""
+        self._update_contact(got.outcome is not ReadOutcome.FAILED, got.detail)
         if got.outcome is ReadOutcome.EXPIRED or (
             got.outcome is ReadOutcome.OK and got.end < self.copy.next_offset
         ):
@@ -208,39 +210,39 @@
             return False
         if got.outcome is ReadOutcome.OK:
             if len(got.records) > 1:
-                self._moved_at = self._clock()
-            news = self.copy.extend(got.records, got.end, asked_at)
-            self._on_news(news)
+                self._last_batch_at = self._clock()
+            new_records = self.copy.extend(got.records, got.end, asked_at)
+            self._notify(new_records)
         return True
 
-    def _answer(self, ok: bool) -> None:
-        asked, self._asked = self._asked, []
-        for done in asked:
+    def _answer_requests(self, ok: bool) -> None:
+        requests, self._refresh_requests = self._refresh_requests, []
+        for done in requests:
             done(ok)
 
-    def _refresh(self) -> None:
+    def _start_refresh(self) -> None:
         self._refreshing = True
-        asked, self._asked = self._asked, []
-        self._read_up(asked, self._clock())
+        requests, self._refresh_requests = self._refresh_requests, []
+        self._read_to_end(requests, self._clock())
 
-    def _read_up(self, asked: list[Refreshed], asked_at: float) -> None:
-        """Read, in as many parts as it takes, what the log held when it was asked for."""
+    def _read_to_end(self, requests: list[RefreshHandler], asked_at: float) -> None:
+        """Read, in several parts if needed, up to the end of the log."""
 
         def got(records: Records) -> None:
             ok = records.outcome is ReadOutcome.OK
-            if self.copy.loaded and self._take(records, asked_at):
+            if self.copy.loaded and self._apply_read(records, asked_at):
                 if ok and records.records and records.end > self.copy.next_offset:
-                    self._read_up(asked, asked_at)
+                    self._read_to_end(requests, asked_at)
                     return
             self._refreshing = False
-            for done in asked:
+            for done in requests:
                 done(ok)
-            if self._asked:
-                self._refresh()
+            if self._refresh_requests:
+                self._start_refresh()
 
         self._log.read(self.copy.next_offset, 0, got)
 
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         generation = self._generation
 
         def act() -> None:
@@ -249,7 +251,7 @@
 
         self._timers.after(delay_s, act)
 
-    def _tell_contact(self, contact: bool, detail: str) -> None:
+    def _update_contact(self, contact: bool, detail: str) -> None:
         if contact != self.contact:
             self.contact = contact
             if contact:
--- a/spoolcrank/published_config.py
+++ b/spoolcrank/published_config.py
@@ -1,4 +1,4 @@
-"""Keep the configuration in force, and what became of each attempt to change it."""
+"""Track the configuration in force and the outcome of each attempt to change it."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Change(NamedTuple):
-    """One attempt to change the configuration and what came of it."""
+    """One attempt to change the configuration, and its outcome."""
 
     version: int
     command: CommandId
@@ -18,15 +18,19 @@
 
 
 class PublishedConfig:
-    """The configuration in force and those before it."""
+    """The configuration in force and the history of changes."""
 
     def __init__(self) -> None:
         self.version = ConfigVersion(0)
         self.toml = ""
         self.history: list[Change] = []
 
-    def offer(self, entry: ConfigEntry) -> bool:
-        """Take a record of the config stream; False when it lost or is not newer."""
+    def apply_entry(self, entry: ConfigEntry) -> bool:
+        """Apply a record of the config stream and return whether it is now in force.
+
+        A record has no effect if its version is not newer. It is rejected if its `if_version` is
+        not the version in force, or if the configuration is invalid.
+        """
         if entry.version <= self.version:
             return False
         record = entry.record
@@ -34,8 +38,8 @@
         valid = not stale and policy.is_valid(record.toml)
         detail = "in force"
         if stale:
-            beaten_by = self.history[-1].command if self.history else "an earlier change"
-            detail = f"made from version {record.if_version}, beaten by {beaten_by}"
+            winner = self.history[-1].command if self.history else "an earlier change"
+            detail = f"made from version {record.if_version}, beaten by {winner}"
             detail += f", version {self.version}"
         elif not valid:
             detail = "does not pass the check"
@@ -48,7 +52,7 @@
         return valid
 
     def adopt(self, version: int, toml: str) -> bool:
-        """Take a configuration that a peer or a snapshot holds, if it is newer."""
+        """Adopt the configuration of a peer or a snapshot if it is newer; return whether it was."""
         if version <= self.version:
             return False
         self.version = ConfigVersion(version)
--- a/spoolcrank/read_window.py
+++ b/spoolcrank/read_window.py
@@ -1,37 +1,38 @@
-"""Bound what one read of a log asks for by how soon the last answers came.
+"""Limit the size of reads of a log by the time that the latest answers took.
 
-Many instances may read the same records over one link, which orders and polls of runners share. A
-read that brings much holds all of them up, and one that is held up is sent again. So reads begin
-small, and grow only while full answers come at once.
+Many instances may read the same records over one link, which also carries orders to runners and
+polls of them. A large read delays all of these, and a delayed read is sent again. Reads therefore
+start small and grow only while full answers arrive quickly.
 """
 
-LEAST_KB = 32
-"""Of one read, kB: 24 instances of a region that read at once then hold a link of 30 Mbit/s up for
-0.2 s, a third of what an order waits for its answer."""
+MIN_READ_KB = 32
+"""The smallest size of a read, kB. When 24 instances of a region read this much at once, they
+occupy a link of 30 Mbit/s for 0.2 s, a third of the time that an order waits for its answer."""
 
 MOST_KB = 320
-"""Of one read, kB: more than the largest record (256)."""
+"""The largest size of a read, kB: more than the largest record (256 kB)."""
 
-QUICK_S = 0.1
-"""A full answer that came within that leaves room for a larger one, s."""
+FAST_ANSWER_S = 0.1
+"""The time within which a full answer must arrive for the window to grow, seconds."""
 
-SLOW_S = 0.25
-"""One that took longer waited for a link or held it up, s."""
+SLOW_ANSWER_S = 0.25
+"""The time after which a full answer shrinks the window, seconds: it waited for a busy link or
+occupied it."""
 
 
 class ReadWindow:
-    """How much the next read of one log asks for."""
+    """The size of the next read of one log, `kb`."""
 
     def __init__(self) -> None:
-        self.kb = LEAST_KB
+        self.kb = MIN_READ_KB
 
     def full(self, took_s: float) -> None:
-        """Take note of an answer that left records behind."""
-        if took_s <= QUICK_S:
+        """Adjust the window after an answer that left further records unread."""
+        if took_s <= FAST_ANSWER_S:
             self.kb = min(MOST_KB, self.kb * 2)
-        elif took_s > SLOW_S:
-            self.kb = max(LEAST_KB, self.kb // 2)
+        elif took_s > SLOW_ANSWER_S:
+            self.kb = max(MIN_READ_KB, self.kb // 2)
 
     def failed(self) -> None:
-        """Take note of a read without an answer."""
-        self.kb = LEAST_KB
+        """Reset the window to its minimum after a read without an answer."""
+        self.kb = MIN_READ_KB
--- a/spoolcrank/reading.py
+++ b/spoolcrank/reading.py
@@ -1,4 +1,4 @@
-"""Read values that any writer may have written: whatever is wrong with one is told by one error."""
+"""Decode values of untrusted writers, with one error for every kind of malformed value."""
 
 import zlib
 from collections.abc import Callable
@@ -7,17 +7,17 @@
 Value = TypeVar("Value")
 Params = ParamSpec("Params")
 
-# What decoders raise for bytes that are no text, no JSON, of another shape or range, or nested
-# deeper than the stack.
+# Decoders raise these for bytes that are not text or not JSON, have another structure or range, or
+# are nested deeper than the stack allows.
 _MALFORMED = (ValueError, LookupError, RecursionError, zlib.error)
 
 
 class Unreadable(ValueError):
-    """A value that is not what its place calls for; it says nothing, and others hold."""
+    """A malformed value; it is ignored and does not affect other values."""
 
 
 def reader(decode: Callable[Params, Value]) -> Callable[Params, Value]:
-    """Return a decoder that raises Unreadable alone, whatever is wrong with a value."""
+    """Wrap a decoder so that it raises Unreadable for every kind of malformed value."""
 
     def read(*args: Params.args, **kwargs: Params.kwargs) -> Value:
         try:
--- a/spoolcrank/state_source.py
+++ b/spoolcrank/state_source.py
@@ -1,4 +1,4 @@
-"""Choose the peer that is asked for its ledger while the log cannot be read."""
+"""Choose the peer to query for its ledger while the log cannot be read."""
 
 from collections.abc import Iterable
 
@@ -7,23 +7,25 @@
 
 
 class StateSource:
-    """Who left the last question unanswered."""
+    """A selector of the peer to query, which avoids peers that left their last query unanswered."""
 
     def __init__(self) -> None:
         self._silent: set[InstanceId] = set()
 
     def pick(self, ahead: Iterable[Heartbeat]) -> Heartbeat | None:
-        """Return the peer that is furthest ahead, of those that answer where any do."""
-        beats = list(ahead)
-        answering = [beat for beat in beats if beat.sender not in self._silent]
+        """Return the heartbeat with the highest ledger offset, preferring peers that answer."""
+        candidates = list(ahead)
+        answering = [candidate for candidate in candidates if candidate.sender not in self._silent]
         if not answering:
-            # Each has had its turn.
+            # No peer answered its last query: try all of them again.
             self._silent.clear()
-        return max(answering or beats, key=lambda beat: beat.ledger_offset, default=None)
+        return max(
+            answering or candidates, key=lambda candidate: candidate.ledger_offset, default=None
+        )
 
-    def answered(self, peer: InstanceId, answered: bool) -> None:
-        """Take note of whether a question was answered."""
-        if answered:
+    def answered(self, peer: InstanceId, has_answered: bool) -> None:
+        """Record whether a peer answered its last query."""
+        if has_answered:
             self._silent.discard(peer)
         else:
             self._silent.add(peer)
--- a/spoolcrank/store_port.py
+++ b/spoolcrank/store_port.py
@@ -1,7 +1,7 @@
-"""Say what the scheduler needs of the store in which everything lasting lives.
+"""Define the interface of the store that holds all durable state.
 
-One log of keyed records, appended under conditions, read from an offset on, and listed as the
-newest value of each key.
+The scheduler needs one log of keyed records that supports conditional appends, reads from an
+offset, and a listing of the newest record of each key.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,14 +11,15 @@
 from spoolcrank.keyed_log import KeyedRecord
 
 CALL_S = 0.8
-"""A call of the store whose answer does not begin, or pauses, for so long is given up, s; 200
-usual answers. An append has ended by then, as its answer is small."""
+"""The time without data after which a call of the store fails, seconds: 200 times the usual answer
+time. It also limits the whole of an append, because the answer to an append is small."""
 
 
 class AppendOutcome(Enum):
-    """What became of an append.
+    """The outcome of an append.
 
-    UNKNOWN: no answer; it may have been done, or may still be, while its conditions hold.
+    UNKNOWN: there was no answer; the append may have been done, or may still be done while its
+    conditions hold.
     """
 
     KEPT = "kept"
@@ -30,9 +31,10 @@
 
 
 class WriterFence(NamedTuple):
-    """The condition of a leader's append: no higher term was seen, and nothing is repeated.
+    """The condition of a leader's append: the store has seen no higher term.
 
-    A repeated append with the same term and sequence gets its first answer again.
+    The store answers a repeated append with the same term and sequence with its first answer and
+    adds nothing.
     """
 
     term: int
@@ -40,11 +42,11 @@
 
 
 class Append(NamedTuple):
-    """Records to add in one step, all or none.
+    """Records to append atomically.
 
     Attributes:
-        fence: for the leader's appends.
-        at: the log must end at this offset; None for any.
+        fence: condition of the leader's appends; None for other appends.
+        at: offset at which the log must end; None for any.
     """
 
     records: Sequence[KeyedRecord]
@@ -53,7 +55,7 @@
 
 
 class Appended(NamedTuple):
-    """The result of an append; `offset` is that of the first record when it is known."""
+    """The result of an append; `offset` is that of the first record, or -1 if unknown."""
 
     outcome: AppendOutcome
     offset: int = -1
@@ -61,7 +63,7 @@
 
 
 class ReadOutcome(Enum):
-    """What became of a read. EXPIRED: what was asked for is not kept any more."""
+    """The outcome of a read; EXPIRED means that the store no longer retains the offset."""
 
     OK = "ok"
     EXPIRED = "expired"
@@ -69,7 +71,7 @@
 
 
 class Records(NamedTuple):
-    """The result of a read: records from the offset on, and where the log ends."""
+    """The result of a read: the records from the offset on, and the end of the log."""
 
     outcome: ReadOutcome
     records: tuple[KeyedRecord, ...] = ()
@@ -78,7 +80,7 @@
 
 
 class NewestPage(NamedTuple):
-    """One page of the newest record of each key; `more` follow after the last key."""
+    """One page of the newest record of each key; `more` is set if further keys follow."""
 
     ok: bool
     records: tuple[KeyedRecord, ...] = ()
@@ -91,10 +93,10 @@
     """One keyed log of the store."""
 
     def append(self, append: Append, done: Callable[[Appended], None]) -> None:
-        """Append records; `done` is told once."""
+        """Append records and call `done` once."""
 
     def read(self, from_offset: int, wait_ms: int, done: Callable[[Records], None]) -> None:
-        """Read records; the answer may wait so long for the first one."""
+        """Read records from an offset on; wait up to `wait_ms` for the first one."""
 
     def newest(self, after_key: str, done: Callable[[NewestPage], None]) -> None:
-        """List the newest record of each key that follows `after_key`."""
+        """List one page of the newest record of each key that follows `after_key`."""
--- a/spoolcrank/workflow.py
+++ b/spoolcrank/workflow.py
@@ -1,4 +1,4 @@
-"""Describe jobs of several steps, as they are submitted and as they are stored.
+"""Define jobs of several steps: the submitted form and the stored form.
 
 Amounts are whole numbers so that sums over an instance are exact: processors in thousandths
 of a core, memory in megabytes.
@@ -19,7 +19,7 @@
 
 
 class Demand(NamedTuple):
-    """What one task takes of its instance: millicores, megabytes, accelerators."""
+    """The resources that one task uses on its instance: millicores, megabytes, accelerators."""
 
     millicores: int = 0
     memory_mb: int = 0
@@ -31,21 +31,23 @@
 
     Attributes:
         count: number of tasks.
-        millicores, memory_mb, accelerators: what each task takes.
-        estimate_ms: a rough guess of a task's time.
+        millicores, memory_mb, accelerators: resources of each task.
+        estimate_ms: rough estimate of a task's run time.
         after: numbers of the earlier steps that must have finished.
-        checkpoints: the task can resume from what it saved.
-        gang: the tasks work only all together.
-        same_rack: the gang is slow over more than one rack.
-        label: what the instance must carry, empty for any.
-        data_rack: the rack where the tasks are quick, empty for any.
-        max_per_instance: how many tasks of the step one instance may hold, 0 for any number.
-        copies: copies of a task may run side by side.
-        lasting: the tasks run until the job is cancelled.
-        image: tasks of one image behave alike.
-        target_ms: bound on the tail latency of a task that serves, 0 for none.
-        fills: the processors do not count; the task gets what others leave.
-        may_be_away: tasks of a lasting step that may be away at once by our doing, -1 unset.
+        checkpoints: whether a task can resume from its last checkpoint.
+        gang: whether the tasks make progress only while all of them run.
+        same_rack: whether the gang is slow when it spans more than one rack.
+        label: label that the instance must have, empty for any instance.
+        data_rack: rack that holds the input data, where the tasks run faster; empty for any.
+        max_per_instance: limit on tasks of the step on one instance, 0 for no limit.
+        copies: whether copies of one task may run at the same time.
+        lasting: whether the tasks run until the job is cancelled.
+        image: name of the program; tasks with the same image behave alike.
+        target_ms: limit on the tail latency of a serving task, 0 for none.
+        fills: whether the task is a filler: its processors do not count, and it uses those
+            that other tasks leave idle.
+        may_be_away: limit on tasks of a lasting step that the scheduler may interrupt at the
+            same time, -1 if unset.
     """
 
     count: int
@@ -69,19 +71,19 @@
 
     @property
     def demand(self) -> Demand:
-        """Return what counts against the instance's room."""
+        """Return the resources that count against the instance's capacity."""
         return Demand(0 if self.fills else self.millicores, self.memory_mb, self.accelerators)
 
 
 class Workflow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job of several steps as its submitter gave it.
+    """A job of several steps in its submitted form.
 
     Attributes:
-        payload: handed to the runners as it is.
-        steps: in the submitter's order; a step names only earlier ones in `after`.
-        rounds: how often the steps run; 0 for once, at once.
-        first_at_ms: time of day when round 0 falls due, milliseconds since 1970.
-        interval_ms: between two rounds.
+        payload: passed to the runners unchanged.
+        steps: in the submitted order; `after` of a step names earlier steps only.
+        rounds: number of times the steps run; 0 to run them once, immediately.
+        first_at_ms: time at which round 0 is due, milliseconds since the Unix epoch.
+        interval_ms: time between the due times of two rounds.
     """
 
     payload: str
@@ -91,32 +93,32 @@
     interval_ms: int = 0
 
     def problem(self) -> str:
-        """Return what makes the workflow impossible to accept, or ''."""
+        """Return why the workflow must be rejected, or an empty string."""
         if not self.steps:
-            return "steps: at least one is needed"
+            return "steps: must contain at least one step"
         for number, step in enumerate(self.steps):
             if step.count < 1:
                 return f"steps.{number}.count: must be at least 1"
             if any(not 0 <= earlier < number for earlier in step.after):
-                return f"steps.{number}: may wait for earlier steps only"
+                return f"steps.{number}.after: must refer to earlier steps only"
         if not 0 <= self.rounds <= MAX_ROUNDS:
             return f"rounds: must be from 0 to {MAX_ROUNDS}"
         return ""
 
 
 class JobRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The stored record of an accepted job: written before its submitter is answered.
+    """The stored record of an accepted job, written before the submission is acknowledged.
 
     Attributes:
-        route: the queue it came in by.
-        service: whose runners were to run it when it came in.
-        priority: 0 is first.
-        max_attempts: failed runs of one task that fail the job.
-        objective_ms: fixed part of the time in which it should finish.
-        stretch: times its longest chain of work that are added to the objective.
-        workflow: what to do.
-        accepted_ms: time of day when it came in, milliseconds since 1970; only the order of
-            waiting work hangs on it, and only after a takeover.
+        route: queue to which the job was submitted.
+        service: service whose runners were configured for the queue at submission.
+        priority: 0 is the highest.
+        max_attempts: number of failed runs of one task after which the job fails.
+        objective_ms: fixed part of the time within which the job should finish.
+        stretch: factor of the job's critical path that is added to the objective.
+        workflow: steps to run.
+        accepted_ms: time of submission, milliseconds since the Unix epoch; used only to order
+            waiting tasks after a takeover.
     """
 
     route: RouteName
@@ -138,7 +140,7 @@
 
 
 class TaskKey(NamedTuple):
-    """One task of a job: round, step and the task's number within it count from 0."""
+    """One task of a job: round, step and the number of the task in its step, all from 0."""
 
     job: JobId
     round: int
@@ -147,12 +149,12 @@
 
     @property
     def of_step(self) -> StepKey:
-        """Return the step that the task is one of."""
+        """Return the key of the step to which the task belongs."""
         return StepKey(self.job, self.round, self.step)
 
 
 class Phase(Enum):
-    """Where one task stands."""
+    """The state of one task."""
 
     WAITING = 0
     BOUND = 1
@@ -160,7 +162,7 @@
 
 
 class JobPhase(Enum):
-    """Where a whole job stands, as its submitter is told."""
+    """The state of a whole job, as reported to clients."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -173,15 +175,16 @@
 
 
 class CrashMark(msgspec.Struct, array_like=True, omit_defaults=True, frozen=True):
-    """The stored trace of a runner that crashed, or may have, under a run of a task.
+    """The stored evidence that a runner crashed, or may have crashed, during a run of a task.
 
     Attributes:
-        runner: that incarnation.
-        address: where it took orders; empty if that is not known.
-        lived_ms: for how long the run had been there at most; 0 if that is not known.
-        alone: nothing else there is likely to have brought the runner down.
-        proved: that incarnation is known to be over.
-        shared: others fell with it by a common cause, so that it says next to nothing.
+        runner: incarnation of the runner.
+        address: address at which the runner accepted orders; empty if unknown.
+        lived_ms: upper limit on the age of the run at the crash; 0 if unknown.
+        alone: whether no other task on the runner is likely to have caused the crash.
+        proved: whether the incarnation is known to have ended.
+        shared: whether other runners failed with it from a common cause, which makes the crash
+            almost no evidence against the task.
     """
 
     runner: str
@@ -193,16 +196,16 @@
 
 
 class TaskMark(msgspec.Struct, array_like=True, omit_defaults=True):
-    """The stored state of one task that is no longer untouched.
+    """The stored state of one task that has left its initial state.
 
     Attributes:
-        index: within its step.
+        index: number of the task in its step.
         phase: a `Phase` value.
-        run: number of its newest run, 0 before the first.
-        runner: where it is bound; empty unless bound.
-        saved: its newest checkpoint.
-        failures: runs that ended by failing.
-        crashes: runners that crashed under its newest runs.
+        run: number of the newest run, 0 before the first.
+        runner: runner to which the task is bound; empty unless bound.
+        saved: newest checkpoint.
+        failures: number of failed runs.
+        crashes: evidence of runner crashes during the newest runs.
     """
 
     index: int
@@ -215,7 +218,7 @@
 
 
 class StepMark(msgspec.Struct, array_like=True, omit_defaults=True):
-    """The stored state of one step of one round; `done` stands for all its tasks."""
+    """The stored state of one step of one round; `done` means that all tasks are done."""
 
     round: int
     step: int
@@ -224,12 +227,12 @@
 
 
 class Progress(msgspec.Struct, array_like=True, omit_defaults=True):
-    """The stored state of one job, whole; written by the scheduler in charge only.
+    """The complete stored state of one job, written by the leader only.
 
     Attributes:
         phase: a `JobPhase` value.
-        steps: those that are no longer untouched.
-        rounds_done: rounds from the first that are done and left out of `steps`.
+        steps: steps that have left their initial state.
+        rounds_done: number of leading rounds that are done; `steps` omits them.
     """
 
     phase: str
@@ -242,30 +245,31 @@
 _decode_progress = msgspec.json.Decoder(Progress).decode
 
 PROGRESS_LEVEL = 1
-"""Of zlib, for stored progress: half of the bytes for some 15 microseconds a record (measured on
-made-up ones of 340 bytes). Every instance reads every record, some over links of 5 Mbit/s."""
+"""The zlib compression level of stored progress. Level 1 halves synthetic records of 340 bytes in
+about 15 microseconds each. Every instance reads every record, some over links of 5 Mbit/s."""
 
 _PHASE_CODES = {phase.value: code for phase, code in zip(JobPhase, b"prcfx", strict=True)}
 _PHASES = {code: JobPhase(value) for value, code in _PHASE_CODES.items()}
 
 
 def encode_progress(progress: Progress) -> bytes:
-    """Return the stored form: one letter for the phase, then the whole, compressed."""
+    """Return the stored form: one letter for the phase, then the compressed progress."""
     code = bytes((_PHASE_CODES[progress.phase],))
     return code + zlib.compress(encode(progress), PROGRESS_LEVEL)
 
 
 PACKED = b"z"
-"""First byte of a job's record whose rest is compressed. None is written yet: instances of the
-version before take such a record for unreadable."""
+"""The first byte of a job's record whose remaining bytes are compressed. This version reads such
+records but writes none, because instances of the previous version cannot read them."""
 
 LARGEST_JOB = 4 << 20
-"""Of a job's record, unpacked, bytes; four times the largest body that clients hand in."""
+"""The size limit of a decompressed job record, bytes: four times the largest request body that
+clients may submit."""
 
 
 @reader
 def decode_job(value: bytes) -> JobRecord:
-    """Read the stored form of a job, compressed or not; raises Unreadable."""
+    """Decode the stored form of a job, compressed or not; raise Unreadable if it is malformed."""
     if value.startswith(PACKED):
         value = zlib.decompressobj().decompress(value[1:], LARGEST_JOB)
     record = _decode_job(value)
@@ -277,11 +281,14 @@
 
 @reader
 def decode_progress(value: bytes) -> Progress:
-    """Read the stored form of a job's progress; raises Unreadable."""
+    """Decode the stored progress of a job; raise Unreadable if it is malformed."""
     return _decode_progress(zlib.decompress(value[1:]))
 
 
 @reader
 def stored_phase(value: bytes) -> JobPhase:
-    """Read the phase alone, which every instance needs of every record; raises Unreadable."""
+    """Decode only the phase, which every instance needs of every record.
+
+    Raise Unreadable if the value is malformed.
+    """
     return _PHASES[value[0]]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration that cannot be read leaves the last one in force, whole."""
+"""An unreadable configuration leaves the whole previous configuration in force."""
 
 import json
 from pathlib import Path
--- a/tests/test_log_follower.py
+++ b/tests/test_log_follower.py
@@ -1,4 +1,4 @@
-"""A copy of a log that is read in parts."""
+"""The copy of a log that is read in several parts."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Log:
-    """Answers reads at once, a part at a time; those that wait for news stay unanswered."""
+    """A log that answers reads at once, one part each, and leaves long polls unanswered."""
 
     def __init__(self) -> None:
         self.reads: list[int] = []
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -1,14 +1,14 @@
-"""Records, entries and answers that another writer made: each is left out, the others hold.
+"""Malformed records, entries and answers of other writers: each is ignored, the others stay valid.
 
-Seen: nothing was placed any more though an instance led, and nobody else claimed.
-How it came about: one entry in the list of runners could not be read; the error left the callback
-in which the list is followed, and no read of the list was ever sent again.
-Cause: decoding was strict and stood in the callback of the read; the leader's sign of life does not
-depend on the list. What proved it: the tests below on the code before, with one entry each.
+The tests guard against two failures. First, nothing was placed although an instance led, and no
+other instance claimed the leadership: one entry in the list of runners was unreadable, the error of
+the strict decoder left the callback of the read, and no further read of the list was sent. The
+leader's heartbeat does not depend on the list. The tests with one such entry each failed on the
+former code.
 
-Seen: a task ran twice at once. How it came about: an entry of another id named a live runner's
-address while that runner's own entry had lapsed. Cause: a second entry at an address counted as
-proof that the first runner was over. What proved it: the test of that name, with no other fault.
+Second, a task ran twice at the same time: an entry of another id named the address of a live runner
+whose own entry had expired. A second entry at an address counted as proof that the first runner
+had ended. The test of this case failed on the former code without any other fault.
 """
 
 import json
@@ -38,7 +38,7 @@
 
 
 def entry(**changes: Any) -> bytes:
-    """Return an entry as a runner writes it, with changes; None leaves a field out."""
+    """Return an entry in the form that runners write, with changes; None omits a field."""
     whole = {
         "service": SERVICE,
         "address": "10.0.9.9:80",
@@ -85,14 +85,14 @@
 
 
 def with_routes(world: World) -> World:
-    for one in world.instances.values():
-        one.dispatcher.set_routes({ROUTE: RoutePolicy(SERVICE, 0, 3)})
+    for instance in world.instances.values():
+        instance.dispatcher.set_routes({ROUTE: RoutePolicy(SERVICE, 0, 3)})
     return world
 
 
 def phase(world: World, job: str) -> JobPhase | None:
-    one = next(iter(world.instances.values()))
-    return one.index.phase(JobId(job))
+    instance = next(iter(world.instances.values()))
+    return instance.index.phase(JobId(job))
 
 
 def settle(world: World, *jobs: str, limit_s: float = 30.0) -> float:
@@ -102,8 +102,8 @@
 
 
 def lines(world: World, name: str) -> list[dict[str, Any]]:
-    logged = [one.logged.lines for one in world.instances.values()]
-    return [fields for held in logged for event, fields in held if event == name]
+    logged = [instance.logged.lines for instance in world.instances.values()]
+    return [fields for entries in logged for event, fields in entries if event == name]
 
 
 def hang(world: World) -> None:
@@ -125,13 +125,13 @@
     settle(world, "a1")
     assert later.ends > 0
     assert OTHER not in world.asked
-    told = [one for one in lines(world, "entry-unreadable") if one["runner"] == OTHER]
-    assert len(told) == 1
+    logged = [line for line in lines(world, "entry-unreadable") if line["runner"] == OTHER]
+    assert len(logged) == 1
     assert world.broken == []
 
 
 def test_an_address_where_nobody_ever_answered_is_asked_seldom() -> None:
-    """Such an entry stays, and each question is paid for: it was asked each 0.4 s for good."""
+    """Such an entry stays listed and each poll has a cost; it was polled every 0.4 s forever."""
     world = with_routes(small())
     world.store.entries.put(OTHER, entry())
     world.run(30.0)
@@ -184,7 +184,7 @@
 
 
 def test_an_entry_without_an_address_frees_no_run_of_an_earlier_leader() -> None:
-    """A run of an earlier leader whose runner is not listed is known by no address either."""
+    """The address of an earlier leader's run is unknown if its runner is not listed."""
     world = small(instances=1)
     hang(world)
     world.instances["entry-0"].submit("a1", LONG)
@@ -296,7 +296,7 @@
 
 # The scheduler's own records
 
-STRANGE = {
+MALFORMED_RECORDS = {
     "a claim": ("leader", b"{"),
     "a claim of another shape": ("leader", b'{"term": 9}'),
     "an offer": ("offer", b"\xff"),
@@ -314,7 +314,7 @@
 }
 
 
-@pytest.mark.parametrize(("key", "value"), STRANGE.values(), ids=STRANGE)
+@pytest.mark.parametrize(("key", "value"), MALFORMED_RECORDS.values(), ids=MALFORMED_RECORDS)
 def test_a_record_that_cannot_be_read_stops_nothing(key: str, value: bytes) -> None:
     world = small()
     world.instances["entry-0"].submit("a1", QUICK)
@@ -335,7 +335,7 @@
 
 
 def test_all_instances_start_anew_beside_a_claim_that_cannot_be_read() -> None:
-    """Nobody knew the newest term, and the store refused every claim of the first one for ever."""
+    """No instance knew the newest term, and the store refused every claim of term 1 forever."""
     world = small()
     for term in range(3):
         leader = world.leader()
@@ -344,8 +344,8 @@
         world.add_instance(f"entry-{7 + term}")
         world.run_until(lambda: world.leader() is not None)
         world.run(0.5)
-    for one in list(world.instances.values()):
-        one.kill()
+    for instance in list(world.instances.values()):
+        instance.kill()
     world.store.jobs.put("leader", b"{")
     world.add_instance("entry-x")
     world.run_until(lambda: world.leader() is not None, 8.0)
@@ -354,7 +354,7 @@
 
 
 def test_a_job_whose_progress_cannot_be_read_is_left_alone() -> None:
-    """Taken as fresh it would run again what was done."""
+    """If such a job counted as new, its completed tasks would run again."""
     world = small(instances=1)
     world.instances["entry-0"].submit("a1", QUICK, LONG)
     world.run(1.2)
@@ -405,7 +405,7 @@
 def test_an_error_of_a_decision_ends_the_term_wherever_it_is_made(
     module: ModuleType, decision: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A leader half went on: what time alone or a kept record led to was not guarded."""
+    """A leader continued in part: decisions after timers or stored records were not guarded."""
     world = small()
     leader = world.leader()
     assert leader is not None
@@ -428,9 +428,9 @@
 
 
 def _append(result: Any) -> Appended:
-    told: list[Appended] = []
-    StoreLog(Http(result), STORE, "jobs").append(Append([KeyedRecord("k", b"v")]), told.append)
-    return told[0]
+    results: list[Appended] = []
+    StoreLog(Http(result), STORE, "jobs").append(Append([KeyedRecord("k", b"v")]), results.append)
+    return results[0]
 
 
 @pytest.mark.parametrize(
@@ -448,9 +448,9 @@
 
 
 def _newest(body: Any) -> NewestPage:
-    told: list[NewestPage] = []
-    StoreLog(Http(answer(200, body)), STORE, "servers").newest("", told.append)
-    return told[0]
+    results: list[NewestPage] = []
+    StoreLog(Http(answer(200, body)), STORE, "servers").newest("", results.append)
+    return results[0]
 
 
 @pytest.mark.parametrize(
@@ -481,10 +481,10 @@
 
 
 def _read(framed: bytes) -> Records:
-    told: list[Records] = []
+    results: list[Records] = []
     body = (20).to_bytes(8, "big") + (3).to_bytes(8, "big") + framed
-    StoreLog(Http(answer(200, body)), STORE, "servers").read(10, 0, told.append)
-    return told[0]
+    StoreLog(Http(answer(200, body)), STORE, "servers").read(10, 0, results.append)
+    return results[0]
 
 
 def frame(raw: bytes) -> bytes:
@@ -514,10 +514,10 @@
 
 
 def _poll(body: Any) -> Polled:
-    told: list[Polled] = []
-    PlatformRunners(Http(answer(200, body))).poll(Poll(TARGET, 57, 486000, 1000), told.append)
-    assert len(told) == 1
-    return told[0]
+    results: list[Polled] = []
+    PlatformRunners(Http(answer(200, body))).poll(Poll(TARGET, 57, 486000, 1000), results.append)
+    assert len(results) == 1
+    return results[0]
 
 
 @pytest.mark.parametrize(
@@ -555,7 +555,7 @@
     rows = [["ab.0.1.16", 2, "", 41], row, ["ab.0.1.17", 2, "00bb", 41, 12.5]]
     got = _poll({"clockMs": 5, "running": rows})
     assert got.report is not None
-    assert [one.task.number for one in got.report.running] == [16, 17]
+    assert [run.task.number for run in got.report.running] == [16, 17]
 
 
 @pytest.mark.parametrize(
@@ -574,14 +574,14 @@
     rows = [[58, "ab.0.1.8", 1, "done", ""], row, [60, "ab.0.1.10", 1, "failed", ""]]
     got = _poll({"clockMs": 5, "ended": rows})
     assert got.report is not None
-    assert [(one.number, one.how) for one in got.report.ended] == [
+    assert [(end.number, end.how) for end in got.report.ended] == [
         (58, EndKind.DONE),
         (60, EndKind.FAILED),
     ]
 
 
 def test_an_end_that_cannot_be_read_is_forgotten_by_its_runner_like_any_other() -> None:
-    """It would come again with each poll, and each poll that waits would be answered at once."""
+    """Otherwise each poll returns it again, so that no long poll ever waits."""
     world = small(runners=1)
     runner = next(iter(world.runners.values()))
     hang(world)
@@ -590,14 +590,14 @@
     asked: list[int] = []
     poll = runner.poll
 
-    def unread(order: Poll) -> Polled:
+    def with_unreadable_end(order: Poll) -> Polled:
         asked.append(order.seen)
         got = poll(order)
         if order.seen >= 40 or got.report is None:
             return got
         return Polled(OrderResult.DONE, got.report._replace(unread_ends=(40,)))
 
-    runner.poll = unread  # type: ignore[method-assign]
+    runner.poll = with_unreadable_end  # type: ignore[method-assign]
     world.run(4.0)
     assert asked[-1] == 40
 
@@ -614,10 +614,10 @@
 def test_an_order_whose_answer_cannot_be_read_goes_by_its_status(
     result: Any, expected: OrderResult
 ) -> None:
-    told: list[Any] = []
-    PlatformRunners(Http(result)).start(Start(TARGET, TASK, 3, "text", "", 900), told.append)
-    PlatformRunners(Http(result)).stop(Stop(TARGET, TASK, 3), told.append)
-    assert [one.result for one in told] == [expected, expected]
+    results: list[Any] = []
+    PlatformRunners(Http(result)).start(Start(TARGET, TASK, 3, "text", "", 900), results.append)
+    PlatformRunners(Http(result)).stop(Stop(TARGET, TASK, 3), results.append)
+    assert [result.result for result in results] == [expected, expected]
 
 
 def test_a_runners_entry_as_it_is_written_is_read() -> None:
--- a/tests/test_shared_link.py
+++ b/tests/test_shared_link.py
@@ -14,22 +14,23 @@
 
 FOLLOWERS = 24
 LINK_BYTES_PER_S = 30e6 / 8
-WAY_S = 0.02
+ONE_WAY_DELAY_S = 0.02
 JOBS = 104
 JOB_BYTES = 4600
-ORDER_S = 0.6
-"""An order or a poll without an answer for so long counts as unanswered, s."""
+ORDER_TIMEOUT_S = 0.6
+"""The time after which an order or a poll counts as unanswered, seconds."""
 
 BUSY_STEPS = 60
-BUSY_STEP_S = 0.1
-"""Between some records and the next, s; with 24 readers they take nine tenths of the link."""
+BUSY_STEP_INTERVAL_S = 0.1
+"""The interval between groups of records, seconds; 24 readers then use nine tenths of the link."""
 
-CAUGHT_UP_S = 6.0
-"""A lease there; what a follower reads later than that may have been decided anew."""
+LEASE_S = 6.0
+"""The length of a lease in that region, seconds. A follower that reads a record later than this may
+act on a decision that the leader has already replaced."""
 
 
 class Link:
-    """One link in the order in which bytes are put on it, and what waits for its time."""
+    """A link that transmits bytes in order, with the timers of the simulation."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -52,14 +53,14 @@
         self.now = until
 
     def carry(self, size: int) -> float:
-        """Put bytes on the link; returns when the last of them has arrived."""
+        """Send bytes over the link and return the time at which the last of them arrives."""
         self.carried += size
         self._free_at = max(self.now, self._free_at) + size / LINK_BYTES_PER_S
-        return self._free_at + WAY_S
+        return self._free_at + ONE_WAY_DELAY_S
 
 
 class Http:
-    """The store behind the link, as one follower reaches it."""
+    """The HTTP client of one follower for the store behind the link."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -68,7 +69,7 @@
         query = {key: value[0] for key, value in parse_qs(urlsplit(call.path).query).items()}
         if "log-newest" in call.path:
             body = b'{"items":[],"more":false,"end":0}'
-            self._link.after(WAY_S, lambda: done(HttpResult(None, 200, {}, body)))
+            self._link.after(ONE_WAY_DELAY_S, lambda: done(HttpResult(None, 200, {}, body)))
             return
         until = self._link.now + float(query.get("waitMs", 0)) / 1000.0
         self._read(call, int(query["fromRev"]), int(query["max_kb"]) * 1024, until, done)
@@ -77,17 +78,17 @@
         self,
         call: HttpCall,
         first: int,
-        most: int,
+        max_bytes: int,
         until: float,
         done: Callable[[HttpResult], None],
     ) -> None:
         link = self._link
         if len(link.records) <= first and link.now < until:
-            link.after(0.01, lambda: self._read(call, first, most, until, done))
+            link.after(0.01, lambda: self._read(call, first, max_bytes, until, done))
             return
         body = struct.pack(">QQ", len(link.records), 0)
         for record in link.records[first:]:
-            if len(body) + len(record) > most:
+            if len(body) + len(record) > max_bytes:
                 break
             body += record
         begins_at = link.carry(0)
@@ -108,7 +109,7 @@
 
 
 def _following(link: Link) -> list[LogFollower]:
-    """Return followers behind a link that have read all that there is, which is nothing."""
+    """Return followers behind a link that have read the whole log, which is empty."""
     timers: Any = link
     followers = []
     for _ in range(FOLLOWERS):
@@ -122,48 +123,49 @@
 
 
 def test_followers_of_a_far_region_leave_the_link_to_orders_and_polls() -> None:
-    """Runners of a far region counted as silent while followers there read jobs.
-
-    Seen: on a quiet day of two regions, from 7 s before traffic, the leader's polls got no answer
-    from the far region for longer than the lease, and what runners had done was started again.
-    How it came about: a hundred jobs came at once; each of 24 instances there asked for all of
-    it in one read, 11 MB for a link of 30 Mbit/s, and for all of it again over a new connection
-    when nothing had come after 0.3 s. Every poll and its answer stood behind that.
-    Cause: what a read may bring was bounded for one link of its own, not for one that is shared.
-    Proof: plays of that day with reads of 32 kB broke nothing, with 320 kB TWICE 40 and LOST 144
-    (one each); this test, before the mend, has polls wait for 8.4 s.
+    """Guard against large reads of the log that delay the polls of runners over a shared link.
+
+    The limit on the size of a read assumed that each instance had a link of its own. In a far
+    region, each of 24 instances asked for a hundred new jobs in one read, 11 MB in all for a link
+    of 30 Mbit/s, and asked again over a new connection after 0.3 s without data. The leader's
+    polls queued behind these reads for longer than the lease, so the runners there counted as
+    silent and their work was started again. This began 7 s before any traffic, in a quiet
+    simulation. In one run of it with each size, reads of 32 kB broke no rule, and reads
+    of 320 kB gave 40 TWICE and 144 LOST violations. With the former limit, polls wait for 8.4 s in
+    this test.
     """
     link = Link()
     followers = _following(link)
     link.records += [_record(number) for number in range(JOBS)]
     waits = []
     caught_up_at = 0.0
-    while link.now < 2.0 + 2 * CAUGHT_UP_S:
+    while link.now < 2.0 + 2 * LEASE_S:
         link.run(link.now + 0.05)
         waits.append(link.carry(1000) - link.now)
-        if all(one.copy.next_offset == JOBS for one in followers) and not caught_up_at:
+        if all(follower.copy.next_offset == JOBS for follower in followers) and not caught_up_at:
             caught_up_at = link.now - 2.0
-    assert max(waits) <= ORDER_S, f"a poll waited for {max(waits):.2f} s"
-    assert 0.0 < caught_up_at <= CAUGHT_UP_S
+    assert max(waits) <= ORDER_TIMEOUT_S, f"a poll waited for {max(waits):.2f} s"
+    assert 0.0 < caught_up_at <= LEASE_S
 
 
 def test_a_follower_that_is_asked_for_the_newest_reads_no_record_twice() -> None:
-    """The link between two regions was full for twelve seconds; half of its bytes came twice.
+    """Guard against a refresh that reads the same records as a read already in flight.
 
-    Seen: all runners of the far region silent for longer than the lease, without any disturbance,
-    and their work started again (TWICE). Half of what instances there read of the log they had read
-    already: a question for a state reads the log at once, beside the read that is under way.
+    A query for the state of a job read the log at once, in parallel with the read in flight, so
+    half of the bytes were transferred twice. The link between two regions was saturated for twelve
+    seconds. All runners of the far region were silent for longer than the lease without any fault,
+    and their work was started again (TWICE).
     """
     link = Link()
     followers = _following(link)
-    told: list[bool] = []
+    results: list[bool] = []
     for number in range(BUSY_STEPS):
-        link.records += [_record(3 * number + one) for one in range(3)]
+        link.records += [_record(3 * number + index) for index in range(3)]
         for follower in followers[number % 3 :: 3]:
-            follower.refresh(told.append)
-        link.run(link.now + BUSY_STEP_S)
-    link.run(link.now + CAUGHT_UP_S)
-    whole = sum(len(one) for one in link.records) * FOLLOWERS
-    assert all(one.copy.next_offset == len(link.records) for one in followers)
-    assert len(told) == BUSY_STEPS * FOLLOWERS // 3
+            follower.refresh(results.append)
+        link.run(link.now + BUSY_STEP_INTERVAL_S)
+    link.run(link.now + LEASE_S)
+    whole = sum(len(record) for record in link.records) * FOLLOWERS
+    assert all(follower.copy.next_offset == len(link.records) for follower in followers)
+    assert len(results) == BUSY_STEPS * FOLLOWERS // 3
     assert link.carried <= whole * 1.1, f"{link.carried / whole:.2f} times the records"
--- a/tests/test_state_source.py
+++ b/tests/test_state_source.py
@@ -1,4 +1,4 @@
-"""Which peer an instance asks for its ledger while it cannot read the log."""
+"""The choice of the peer that an instance queries for its ledger without the log."""
 
 from spoolcrank.ids import AvailabilityZone, ConfigVersion, Incarnation, InstanceId
 from spoolcrank.membership import Heartbeat
@@ -26,7 +26,7 @@
 
 
 def test_a_peer_that_leaves_questions_unanswered_keeps_no_other_from_being_asked() -> None:
-    """The one furthest ahead was asked again every 3 s, however often it did not answer."""
+    """The peer furthest ahead was queried again every 3 s, even though it never answered."""
     source = StateSource()
     asked = []
     for _ in range(4):
--- a/tests/test_stored_progress.py
+++ b/tests/test_stored_progress.py
@@ -1,4 +1,4 @@
-"""The check on stored progress finds what goes back, and nothing else."""
+"""The check on stored progress reports progress that goes back, and nothing else."""
 
 import pytest
 
@@ -17,7 +17,9 @@
 
 
 def step(*phases: int) -> StepMark:
-    return StepMark(0, 0, False, tuple(TaskMark(at, one, 1) for at, one in enumerate(phases)))
+    return StepMark(
+        0, 0, False, tuple(TaskMark(index, phase, 1) for index, phase in enumerate(phases))
+    )
 
 
 ONE_DONE = record(step(DONE, WAITING))
--- a/tests/test_unknown_queues.py
+++ b/tests/test_unknown_queues.py
@@ -1,4 +1,4 @@
-"""What a client is told whose queue the configuration does not have, as far as it was read."""
+"""The answer to a client whose queue is missing from the configuration that was read."""
 
 import json
 from collections.abc import Callable
@@ -17,30 +17,37 @@
 
 class _Lines:
     def log(self, name: str, grave: bool = False, **fields: Any) -> None:
-        """Take no notice."""
+        """Ignore the line."""
 
 
 def _table(version: int, *prefixes: str) -> RouteTable:
     routes = [
-        {"name": one, "host": "a", "pathPrefix": one, "service": "s", "maxAttempts": 4, "sloMs": 1}
-        for one in prefixes
+        {
+            "name": prefix,
+            "host": "a",
+            "pathPrefix": prefix,
+            "service": "s",
+            "maxAttempts": 4,
+            "sloMs": 1,
+        }
+        for prefix in prefixes
     ]
     return configuration_of(json.dumps({"version": version, "routes": routes}).encode())
 
 
 def _ask(confirm: Callable[[Done], None], tables: list[RouteTable]) -> list[HttpReply]:
-    """Ask for the count of a queue that only a second configuration has."""
+    """Request the count of a queue that exists only in a second configuration."""
     world = small(instances=1, runners=1)
     intake = world.instances["entry-0"].intake
     lines: Any = _Lines()
     api = ClientApi(intake, lambda: tables[0], confirm, lines, Figures())
-    got: list[HttpReply] = []
-    api.answer(HttpRequest("GET", "/new/", {}, {"host": "a"}, b"", ""), got.append)
-    return got
+    replies: list[HttpReply] = []
+    api.answer(HttpRequest("GET", "/new/", {}, {"host": "a"}, b"", ""), replies.append)
+    return replies
 
 
 def test_a_queue_is_not_denied_by_a_configuration_that_may_be_old() -> None:
-    """An instance that had not read the configuration for nine seconds answered 404 by it."""
+    """An instance answered 404 from a configuration that it had last read nine seconds ago."""
     (answer,) = _ask(lambda done: done(False), [_table(63, "/old/")])
     assert answer.status == 503
     assert "Retry-After" in answer.headers
@@ -63,9 +70,9 @@
 
 
 def _confirmed(world: World) -> list[bool]:
-    told: list[bool] = []
-    world.instances["entry-1"].follower.confirm(AGE_S, told.append)
-    return told
+    results: list[bool] = []
+    world.instances["entry-1"].follower.confirm(AGE_S, results.append)
+    return results
 
 
 def test_a_copy_is_confirmed_by_its_age_by_one_more_read_or_not_at_all() -> None:
@@ -73,10 +80,10 @@
     assert _confirmed(world) == [True]
     follower = world.instances["entry-1"].follower
     follower.copy.read_at = world.now - 2 * AGE_S
-    told = _confirmed(world)
-    assert told == []
+    results = _confirmed(world)
+    assert results == []
     world.run(0.1)
-    assert told == [True]
+    assert results == [True]
     world.store.turned_away.add("entry-1")
     world.run(AGE_S + 2.0)
     assert _confirmed(world) == [False]
