--- a/spoolcrank/callers.py
+++ b/spoolcrank/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers' requests: run the router's decisions over HTTP and between peers."""
+"""Serve callers' requests: carry out the router's decisions over HTTP and between peers."""
 
 import time
 from collections import Counter
@@ -10,13 +10,13 @@
 from spoolcrank._timers import Timers
 from spoolcrank._web import HttpReply, HttpRequest, Reply, refusal_reply
 from spoolcrank._wire import Forward, Forwarded, Frame
-from spoolcrank.caller_request import NOT_PASSED_ON, HeldRequest, parse_headers, passed_on
+from spoolcrank.caller_request import HOP_HEADERS, RequestContext, forwarded_headers, parse_headers
 from spoolcrank.controller import Controller
 from spoolcrank.decisions import Decision, Decisions
 from spoolcrank.errors import ANSWERS, ErrorKind, Outcome, Refusal
 from spoolcrank.fleet import Instance, Role
 from spoolcrank.ids import Caller, InstanceId, RequestId, ServiceName, unique
-from spoolcrank.keyed_requests import REQUEST_ID, KeyedRequests
+from spoolcrank.keyed_requests import REQUEST_ID_HEADER, KeyedRequests
 from spoolcrank.logs import log
 from spoolcrank.membership import Heartbeat, other_entries
 from spoolcrank.metrics import Metrics
@@ -39,13 +39,13 @@
 from spoolcrank.state import can_act
 
 TICK_S = 0.02
-_GRACE_S = 10.0
-_PEER_GRACE_S = 0.25
+_GRACE_S = 10.0  # time after the deadline during which a runner's answer is still awaited
+_PEER_MARGIN_S = 0.25  # a fifth of it is subtracted from the time left to a forwarded request
 _RATE_SMOOTHING = 0.3
 
 
 class Callers(BaseComponent):
-    """Own the callers' requests that are under way."""
+    """Serve the requests of callers and of forwarding peers until each has an answer."""
 
     channel = "callers"
 
@@ -59,26 +59,26 @@
         self._metrics = metrics
         members = controller.core.members
         self.router = Router(members.me, members.zone)
-        self._held: dict[RequestId, HeldRequest] = {}
+        self._contexts: dict[RequestId, RequestContext] = {}
         self._answers: dict[int, HttpReply] = {}
         self._keyed = KeyedRequests(
-            controller, metrics, self._held, self._submit, self._refuse, self._flies
+            controller, metrics, self._contexts, self._submit, self._refuse, self._is_routed
         )
         self.decisions = Decisions()
         self.closing = False
-        self._arrived: Counter[ServiceName] = Counter()
+        self._arrivals: Counter[ServiceName] = Counter()
         self._rates: dict[ServiceName, float] = {}
         controller.free_slots = self._free_slots
         controller.core.busy_slots = self._busy_slots
         controller.core.service_rate = self._service_rate
         controller.latency_s = self._latency_s
-        timers.every(1.0, self._every_second)
+        timers.every(1.0, self._update_estimates)
         timers.every(TICK_S, self._tick)
 
     @property
     def under_way(self) -> int:
-        """Return how many requests have no answer yet."""
-        return len(self._held) + self._keyed.waiting
+        """Return how many requests have no answer yet, repeats of a key included."""
+        return len(self._contexts) + self._keyed.waiting
 
     def _free_slots(self, server: InstanceId) -> int:
         now = time.monotonic()
@@ -91,15 +91,15 @@
         return runner.latency_s if runner else 0.0
 
     def _service_rate(self, service: ServiceName) -> float:
-        """Return the requests a second to a service over all entry instances, as ours go."""
+        """Return the requests per second of a service, if all entry instances get equally many."""
         return self._rates.get(service, 0.0) * (1 + len(other_entries(self._core.members)))
 
-    def _every_second(self) -> None:
-        known_runners.fade(self.router, time.monotonic())
-        for service in set(self._rates) | set(self._arrived):
+    def _update_estimates(self) -> None:
+        known_runners.decay_latencies(self.router, time.monotonic())
+        for service in set(self._rates) | set(self._arrivals):
             known = self._rates.get(service, 0.0)
-            self._rates[service] = known + _RATE_SMOOTHING * (self._arrived[service] - known)
-        self._arrived.clear()
+            self._rates[service] = known + _RATE_SMOOTHING * (self._arrivals[service] - known)
+        self._arrivals.clear()
 
     def _busy_slots(self, server: InstanceId) -> int:
         runner = self.router.runners.get(server)
@@ -116,21 +116,21 @@
         path = f"/{rest}?{req.raw_query}" if req.raw_query else f"/{rest}"
         caller = Caller(req.headers.get("spoolcrank-caller", ""))
         key = req.headers.get("idempotency-key", "")
-        self._arrived[parsed.service] += 1
+        self._arrivals[parsed.service] += 1
         full_key = join_key(parsed.service, caller, key) if key else ""
-        held = HeldRequest(
+        context = RequestContext(
             req.method,
             path,
-            passed_on(req.headers),
+            forwarded_headers(req.headers),
             req.body,
             parsed.deadline,
             reply,
             key=full_key,
         )
         if full_key:
-            self._keyed.serve(parsed, held, reply)
+            self._keyed.serve(parsed, context, reply)
         else:
-            self._submit(parsed, held)
+            self._submit(parsed, context)
 
     def _parse(
         self, request: RequestId, service: ServiceName, req: HttpRequest
@@ -143,31 +143,31 @@
             return Refusal(ErrorKind.NOT_READY, reason, retry_after_s=1.0)
         if req.method == "HEAD":
             return Refusal(ErrorKind.METHOD_NOT_ALLOWED, "HEAD is not served", "method")
-        if not self._exists(service):
+        if not self._is_listed(service):
             return Refusal(ErrorKind.NO_SUCH_SERVICE, f"no service {service!r}", "service")
         return parse_headers(request, service, req, self._core.policy.routing.deadline_ms, now)
 
-    def _exists(self, service: ServiceName) -> bool:
-        return any(one.service == service for one in self._core.members.listed.values())
+    def _is_listed(self, service: ServiceName) -> bool:
+        return any(listed.service == service for listed in self._core.members.listed.values())
 
-    def _flies(self, request: RequestId) -> bool:
+    def _is_routed(self, request: RequestId) -> bool:
         return request in self.router.flights
 
-    def _submit(self, request: Request, held: HeldRequest) -> None:
-        self._held[request.id] = held
+    def _submit(self, request: Request, context: RequestContext) -> None:
+        self._contexts[request.id] = context
         self._metrics.incr("requests")
         now = time.monotonic()
-        self._sync()
-        self._act(routing.submit(self.router, request, self._core.policy, now))
+        self._sync_runners()
+        self._perform(routing.submit(self.router, request, self._core.policy, now))
 
     def _tick(self) -> None:
         now = time.monotonic()
-        self._sync()
-        self._act(routing.tick(self.router, self._core.policy, now))
+        self._sync_runners()
+        self._perform(routing.tick(self.router, self._core.policy, now))
         self._keyed.tick(now)
 
-    def _sync(self) -> None:
-        """Let the router use exactly the runners that we own and may command now."""
+    def _sync_runners(self) -> None:
+        """Give the router exactly the runners that we own and may command now."""
         now = time.monotonic()
         members = self._core.members
         allowed = can_act(self._core, now)
@@ -184,22 +184,22 @@
                 server,
                 instance.service,
                 instance.slots,
-                open_from=owned.slots_from,
-                held=owned.slots_held,
+                withheld_until=owned.slots_from,
+                withheld_slots=owned.slots_held,
             )
             current.append(runner)
         known_runners.sync_runners(self.router, current)
 
     @handler("fleet_listed", channel="*")
     def _on_fleet_listed(self, instances: list[Instance]) -> None:
-        entries = sum(one.role is Role.ENTRY for one in instances)
+        entries = sum(item.role is Role.ENTRY for item in instances)
         shares: dict[ServiceName, float] = {}
-        for one in instances:
-            if one.service:
-                shares[one.service] = shares.get(one.service, 0.0) + one.slots / max(1, entries)
-        self.router.shares = shares
+        for item in instances:
+            if item.service:
+                shares[item.service] = shares.get(item.service, 0.0) + item.slots / max(1, entries)
+        self.router.slot_shares = shares
 
-    def _act(self, actions: list[RouteAction]) -> None:
+    def _perform(self, actions: list[RouteAction]) -> None:
         for action in actions:
             match action:
                 case ToRunner():
@@ -214,23 +214,23 @@
                     self._metrics.incr(action.name)
 
     def _send_to_runner(self, action: ToRunner) -> None:
-        held = self._held[action.request]
-        flight = self.router.flights[action.request]
+        context = self._contexts[action.request]
+        call = self.router.flights[action.request]
         instance = self._core.members.listed[action.server]
-        left_s = max(0.0, flight.req.deadline - time.monotonic())
-        headers = {**held.headers, REQUEST_ID: public_id(action.request)}
-        call = HttpCall(
-            instance.address, held.method, held.path, headers, held.body, left_s + _GRACE_S
+        left_s = max(0.0, call.req.deadline - time.monotonic())
+        headers = {**context.headers, REQUEST_ID_HEADER: public_id(action.request)}
+        http_call = HttpCall(
+            instance.address, context.method, context.path, headers, context.body, left_s + _GRACE_S
         )
-        self._http.send(call, lambda result: self._on_runner(action, result))
+        self._http.send(http_call, lambda result: self._on_runner_answer(action, result))
 
-    def _on_runner(self, action: ToRunner, result: HttpResult) -> None:
+    def _on_runner_answer(self, action: ToRunner, result: HttpResult) -> None:
         outcome = judge(action.request, result)
         if outcome in (Result.ANSWERED, Result.SERVICE_ERROR):
             headers = {
                 name: value
                 for name, value in result.headers.items()
-                if name not in NOT_PASSED_ON and name != "date"
+                if name not in HOP_HEADERS and name != "date"
             }
             if "content-type" in headers:
                 headers["Content-Type"] = headers.pop("content-type")
@@ -238,11 +238,11 @@
         elif outcome is not Result.NOT_SENT:
             self._metrics.incr(f"runner.{outcome.value}")
         now = time.monotonic()
-        flight = self.router.flights.get(action.request)
-        if flight is not None and outcome is Result.ANSWERED:
-            self._metrics.timing("runner", now - flight.sent_at)
-            self._controller.on_latency(action.server, now - flight.sent_at, now)
-        self._act(
+        call = self.router.flights.get(action.request)
+        if call is not None and outcome is Result.ANSWERED:
+            self._metrics.timing("runner", now - call.sent_at)
+            self._controller.on_latency(action.server, now - call.sent_at, now)
+        self._perform(
             routing.on_result(
                 self.router, action.request, action.attempt, outcome, self._core.policy, now
             )
@@ -250,24 +250,24 @@
         self._answers.pop(action.attempt, None)
 
     def _send_to_peer(self, action: ToPeer) -> None:
-        held = self._held[action.request]
-        flight = self.router.flights[action.request]
+        context = self._contexts[action.request]
+        call = self.router.flights[action.request]
         now = time.monotonic()
         message = Forward(
             request=RequestId(f"{action.request}/{action.attempt}"),
-            service=flight.req.service,
-            method=held.method,
-            path=held.path,
-            headers=dict(held.headers),
-            body=held.body,
-            left_s=max(0.0, flight.req.deadline - now - _PEER_GRACE_S / 5),
-            urgency=flight.req.urgency,
-            repeatable=flight.req.repeatable,
+            service=call.req.service,
+            method=context.method,
+            path=context.path,
+            headers=dict(context.headers),
+            body=context.body,
+            left_s=max(0.0, call.req.deadline - now - _PEER_MARGIN_S / 5),
+            urgency=call.req.urgency,
+            repeatable=call.req.repeatable,
         )
         self._metrics.incr("route.forwarded")
         if self._controller.peers.tell(action.peer, message):
             return
-        self._act(
+        self._perform(
             routing.on_result(
                 self.router,
                 action.request,
@@ -286,16 +286,16 @@
             case Forwarded() as forwarded:
                 self._on_forwarded(forwarded)
             case Heartbeat() as beat:
-                self._on_beat(beat)
+                self._on_heartbeat(beat)
             case _:
                 pass
 
     @handler("peer_lost", channel="*")
     def _on_peer_lost(self, peer: InstanceId) -> None:
         now = time.monotonic()
-        self._act(routing.forget_peer(self.router, peer, self._core.policy, now))
+        self._perform(routing.drop_peer(self.router, peer, self._core.policy, now))
 
-    def _on_beat(self, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, beat: Heartbeat) -> None:
         free: dict[ServiceName, list[FreeSlots]] = {}
         if not beat.leaving:
             for status in beat.servers:
@@ -319,7 +319,7 @@
         self._metrics.incr("route.taken")
         self._submit(
             request,
-            HeldRequest(
+            RequestContext(
                 forward.method,
                 forward.path,
                 forward.headers,
@@ -339,7 +339,7 @@
         else:
             refusal = Refusal(message.error, message.detail, "", message.retry_after_s)
             result = result_of(message.error)
-        self._act(
+        self._perform(
             routing.on_result(
                 self.router, request, attempt, result, self._core.policy, now, refusal
             )
@@ -349,24 +349,24 @@
     def _finish(
         self, request: RequestId, answer: HttpReply | None = None, refusal: Refusal | None = None
     ) -> None:
-        held = self._held.pop(request, None)
-        if held is None:
+        context = self._contexts.pop(request, None)
+        if context is None:
             return
         if answer is None and refusal is None:
-            refusal = Refusal(ErrorKind.INTERNAL, "the answer was lost inside this instance")
-        if held.origin is not None:
-            self._finish_forward(request, held.origin, answer, refusal)
-        if held.reply is None:
+            refusal = Refusal(ErrorKind.INTERNAL, "this instance lost the answer")
+        if context.origin is not None:
+            self._finish_forward(request, context.origin, answer, refusal)
+        if context.reply is None:
             return
-        if held.key:
+        if context.key:
             outcome = ANSWERS[refusal.kind].outcome if refusal else Outcome.RAN
-            self._keyed.record(held.key, request, outcome, answer)
+            self._keyed.record(context.key, request, outcome, answer)
         if refusal is not None:
-            self._refuse(request, refusal, held.reply)
+            self._refuse(request, refusal, context.reply)
         elif answer is not None:
             self._metrics.incr("requests.answered")
-            headers = {**answer.headers, REQUEST_ID: request}
-            held.reply(HttpReply(answer.status, headers, answer.body))
+            headers = {**answer.headers, REQUEST_ID_HEADER: request}
+            context.reply(HttpReply(answer.status, headers, answer.body))
 
     def _finish_forward(
         self,
@@ -394,4 +394,4 @@
             Decision(request, refusal.kind.value, refusal.detail, time.time(), version)
         )
         log("request.refused", request=request, error=refusal.kind.value, detail=refusal.detail)
-        reply(refusal_reply(refusal, {REQUEST_ID: request}))
+        reply(refusal_reply(refusal, {REQUEST_ID_HEADER: request}))
--- a/spoolcrank/jobs_api.py
+++ b/spoolcrank/jobs_api.py
@@ -1,4 +1,4 @@
-"""Answer callers about jobs: submit, look up, cancel."""
+"""Serve the jobs API: submit, look up and cancel jobs."""
 
 import time
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 from spoolcrank.metrics import Metrics
 from spoolcrank.records import AnyRecord, JobAccepted, JobsCancelled
 
-CONFIRM_S = 5.0
-_LOOK_AGAIN_S = 0.3
+CONFIRM_TIMEOUT_S = 5.0
+_LOOKUP_RETRY_S = 0.3
 _ACCEPTED = 202
 
 
 class JobsApi:
-    """Turn requests about jobs into records and the ledger into answers."""
+    """Handler of job requests; changes become log records, answers come from the ledger."""
 
     def __init__(self, controller: Controller, timers: Timers, metrics: Metrics) -> None:
         self._controller = controller
@@ -41,19 +41,19 @@
         if not job and req.method == "POST":
             self._submit(req, reply)
         elif not job and req.method == "GET":
-            jobs = [summary(self._ledger, one) for one in self._ledger.jobs.values()]
+            jobs = [summary(self._ledger, listed) for listed in self._ledger.jobs.values()]
             reply(json_reply(200, {"jobs": jobs}))
         elif job and req.method == "GET":
             self._look_up(
-                job, lambda found: reply(json_reply(200, show(self._ledger, found))), reply
+                job, lambda known: reply(json_reply(200, show(self._ledger, known))), reply
             )
         elif job and req.method == "DELETE":
-            self._look_up(job, lambda found: self._cancel(found, reply), reply)
+            self._look_up(job, lambda known: self._cancel(known, reply), reply)
         else:
             self.refuse(Refusal(ErrorKind.METHOD_NOT_ALLOWED, f"{req.method} is not served"), reply)
 
     def refuse(self, refusal: Refusal, reply: Reply) -> None:
-        """Give an error of ours as the answer."""
+        """Answer a request with an error and count it."""
         self._metrics.incr(f"refused.{refusal.kind.value}")
         reply(refusal_reply(refusal))
 
@@ -65,7 +65,7 @@
                 self.submit(spec, req.headers.get("idempotency-key", ""), reply)
 
     def submit(self, spec: JobSpec, key: str, reply: Reply) -> None:
-        """Take a job on; a repeated key finds the job of the first request."""
+        """Accept a job; a repeated key returns the job of the first request with that key."""
         job = JobId(f"job-{xxhash.xxh64_hexdigest(key.encode())}" if key else unique("job"))
         if job in self._ledger.jobs:
             reply(json_reply(_ACCEPTED, {"id": job}))
@@ -79,7 +79,10 @@
         self.record(JobAccepted(job=job, spec=spec), on_applied, reply)
 
     def record(self, record: AnyRecord, on_applied: Callable[[], None], reply: Reply) -> None:
-        """Have a record on the log, then go on; refuse truthfully where that fails."""
+        """Append a record to the log and call `on_applied` once it is applied.
+
+        If that fails, the refusal says whether the record may still take effect.
+        """
         if not self._controller.core.situation(time.monotonic()).log_ok:
             self.refuse(Refusal(ErrorKind.LOG_UNAVAILABLE, "the log is down", "", 1.0), reply)
             return
@@ -93,7 +96,7 @@
 
         seq = self._controller.log_link.append(record, applied)
         if seq is None:
-            detail = "too much waits for the log"
+            detail = "too many records wait for the log"
             self.refuse(Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), reply)
             return
 
@@ -103,28 +106,28 @@
                 return
             done = True
             if self._controller.log_link.withdraw(seq):
-                detail = "the log did not take the record in time"
+                detail = "the log did not accept the record in time"
                 self.refuse(Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), reply)
             else:
                 detail = "the log did not confirm the record in time; it may still take effect"
                 self.refuse(Refusal(ErrorKind.LOG_ANSWER_UNKNOWN, detail, "", 1.0), reply)
 
-        self._timers.after(CONFIRM_S, expire)
+        self._timers.after(CONFIRM_TIMEOUT_S, expire)
 
-    def _look_up(self, job: JobId, found: Callable[[Job], None], reply: Reply) -> None:
+    def _look_up(self, job: JobId, on_found: Callable[[Job], None], reply: Reply) -> None:
         known = self._ledger.jobs.get(job)
         if known is not None:
-            found(known)
+            on_found(known)
             return
 
-        def again() -> None:
-            later = self._ledger.jobs.get(job)
-            if later is not None:
-                found(later)
+        def look_up_again() -> None:
+            known_later = self._ledger.jobs.get(job)
+            if known_later is not None:
+                on_found(known_later)
             else:
                 self.refuse(Refusal(ErrorKind.NO_SUCH_JOB, f"no job {job!r}", "id"), reply)
 
-        self._timers.after(_LOOK_AGAIN_S, again)
+        self._timers.after(_LOOKUP_RETRY_S, look_up_again)
 
     def _cancel(self, job: Job, reply: Reply) -> None:
         command = CommandId(unique("cmd"))
@@ -138,7 +141,7 @@
 
 
 def summary(ledger: Ledger, job: Job) -> dict[str, Any]:
-    """Return a job in one line's worth of fields."""
+    """Return the main fields of a job, with its number of tasks per state."""
     counts: dict[str, int] = {}
     for task in job.tasks:
         state = ledger.tasks[task].state.value
@@ -156,7 +159,7 @@
 
 
 def show(ledger: Ledger, job: Job) -> dict[str, Any]:
-    """Return a job with all its tasks, as `GET /jobs/ID` answers."""
+    """Return a job with all its tasks, as in the answer to `GET /jobs/{id}`."""
     tasks = [show_task(ledger.tasks[task]) for task in job.tasks]
     state = job_state(ledger, job)
     shown: dict[str, Any] = {"id": job.id, "name": job.spec.name, "state": state.value}
--- a/spoolcrank/keyed_requests.py
+++ b/spoolcrank/keyed_requests.py
@@ -1,11 +1,11 @@
-"""Run requests with an idempotency key once: the first is run, repeats get its outcome."""
+"""Run requests with an idempotency key once: repeats get the outcome of the first request."""
 
 import time
 from collections.abc import Callable
 from typing import NamedTuple
 
 from spoolcrank._web import HttpReply, Reply
-from spoolcrank.caller_request import HeldRequest
+from spoolcrank.caller_request import RequestContext
 from spoolcrank.controller import Controller
 from spoolcrank.errors import ErrorKind, Outcome, Refusal
 from spoolcrank.ids import RequestId, ServiceName
@@ -15,17 +15,20 @@
 from spoolcrank.records import KeyDone, KeyTaken
 from spoolcrank.route_state import Request
 
-MAX_KEPT_BODY = 16 << 10
-"""Of an answer kept for repeats, bytes; longer ones are told as run, without their body."""
+MAX_STORED_BODY_BYTES = 16 << 10
+"""Maximum body size of an answer stored for repeats, in bytes.
 
-REQUEST_ID = "Spoolcrank-Request-Id"
+A longer answer is stored without its body, only as run.
+"""
 
-Submit = Callable[[Request, HeldRequest], None]
+REQUEST_ID_HEADER = "Spoolcrank-Request-Id"
+
+Submit = Callable[[Request, RequestContext], None]
 Refuse = Callable[[RequestId, Refusal, Reply], None]
 
 
 class _Waiter(NamedTuple):
-    """A repeated request that waits for the first one's outcome."""
+    """A repeated request that waits for the outcome of the first one."""
 
     key: str
     deadline: float
@@ -34,84 +37,84 @@
 
 
 class KeyedRequests:
-    """The requests of one instance that have a key.
+    """The requests of one instance that have an idempotency key.
 
     Args:
-        controller: whose log keeps the keys.
+        controller: provides the log that stores the keys.
         metrics: counts repeats.
-        held: the requests of this instance that are under way, shared with their owner.
-        submit: runs a request.
-        refuse: answers one with a refusal.
-        flies: tells whether a request was given to the router.
+        contexts: the requests of this instance that have no answer yet, shared with `Callers`.
+        submit: passes a request to the router.
+        refuse: answers a request with a refusal.
+        is_routed: returns whether the router has a request.
     """
 
     def __init__(
         self,
         controller: Controller,
         metrics: Metrics,
-        held: dict[RequestId, HeldRequest],
+        contexts: dict[RequestId, RequestContext],
         submit: Submit,
         refuse: Refuse,
-        flies: Callable[[RequestId], bool],
+        is_routed: Callable[[RequestId], bool],
     ) -> None:
         self._controller = controller
         self._core = controller.core
         self._metrics = metrics
-        self._held = held
+        self._contexts = contexts
         self._submit = submit
         self._refuse = refuse
-        self._flies = flies
+        self._is_routed = is_routed
         self._waiters: list[_Waiter] = []
 
     @property
     def waiting(self) -> int:
-        """Return how many repeats wait for the first one's outcome."""
+        """Return how many repeats wait for the outcome of their first request."""
         return len(self._waiters)
 
-    def serve(self, request: Request, held: HeldRequest, reply: Reply) -> None:
-        """Run a request once its key is kept, or answer it from the first one with the key."""
-        known = self._core.ledger.keys.get(held.key)
-        if known is not None and not _is_free(known):
-            self._repeat(known, request, held.key, reply)
+    def serve(self, request: Request, context: RequestContext, reply: Reply) -> None:
+        """Run a request once its key is stored, or answer it from the key's first request."""
+        known = self._core.ledger.keys.get(context.key)
+        if known is not None and not _may_run_again(known):
+            self._repeat(known, request, context.key, reply)
             return
         now = time.monotonic()
         if not self._core.situation(now).log_ok:
-            detail = "the log is down, and a key can only be kept on it"
+            detail = "the log is down, so the idempotency key cannot be stored"
             self._refuse(request.id, Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), reply)
             return
         members = self._core.members
         record = KeyTaken(
-            key=held.key, request=request.id, holder=members.me, incarnation=members.incarnation
+            key=context.key, request=request.id, holder=members.me, incarnation=members.incarnation
         )
 
         def on_applied() -> None:
-            self._on_key_applied(request, held, reply)
+            self._on_key_applied(request, context, reply)
 
         seq = self._controller.log_link.append(record, on_applied)
         if seq is None:
-            detail = "too much waits for the log"
+            detail = "too many records wait for the log"
             self._refuse(request.id, Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), reply)
             return
-        self._held[request.id] = held
-
-    def _on_key_applied(self, request: Request, held: HeldRequest, reply: Reply) -> None:
-        known = self._core.ledger.keys.get(held.key)
-        mine = known is not None and known.request == request.id
-        if request.id not in self._held:
-            if mine:
-                self.record(held.key, request.id, Outcome.NOT_RUN, None)
+        self._contexts[request.id] = context
+
+    def _on_key_applied(self, request: Request, context: RequestContext, reply: Reply) -> None:
+        known = self._core.ledger.keys.get(context.key)
+        is_ours = known is not None and known.request == request.id
+        if request.id not in self._contexts:
+            if is_ours:
+                self.record(context.key, request.id, Outcome.NOT_RUN, None)
             return
-        del self._held[request.id]
-        if mine:
-            self._submit(request, held)
+        del self._contexts[request.id]
+        if is_ours:
+            self._submit(request, context)
         elif known is not None:
-            self._repeat(known, request, held.key, reply)
+            self._repeat(known, request, context.key, reply)
         else:
-            detail = "the key's record could not be kept"
+            detail = "the key's record could not be stored"
             self._refuse(request.id, Refusal(ErrorKind.LOG_UNAVAILABLE, detail), reply)
 
     def _repeat(self, known: Key, request: Request, key: str, reply: Reply) -> None:
-        """Answer a repeated key from the first request's outcome."""
+        """Answer a repeated request with the outcome of the first one, or let it wait for that."""
         now = time.monotonic()
         kind = self._key_error(known)
         if kind is ErrorKind.KEY_IN_PROGRESS and now < request.deadline:
@@ -124,7 +127,7 @@
             detail = f"the first request with this key was {known.request}"
             self._refuse(request.id, Refusal(kind, detail), reply)
         else:
-            headers = {REQUEST_ID: known.request, "Content-Type": done.content_type}
+            headers = {REQUEST_ID_HEADER: known.request, "Content-Type": done.content_type}
             reply(HttpReply(done.status, headers, (done.body or "").encode()))
 
     def _key_error(self, known: Key) -> ErrorKind | None:
@@ -140,10 +143,10 @@
     def record(
         self, key: str, request: RequestId, outcome: Outcome, answer: HttpReply | None
     ) -> None:
-        """Keep how the request with a key ended, and a short answer."""
+        """Log how the request with a key ended, with its answer if the body is short UTF-8 text."""
         body = None
-        if answer is not None and len(answer.body) <= MAX_KEPT_BODY:
-            body = _text(answer.body)
+        if answer is not None and len(answer.body) <= MAX_STORED_BODY_BYTES:
+            body = _decode_text(answer.body)
         record = KeyDone(
             key=key,
             request=request,
@@ -155,44 +158,44 @@
         self._controller.log_link.append(record)
 
     def _finish_waiter(self, waiter: _Waiter, known: Key | None) -> None:
-        if known is None or _is_free(known):
+        if known is None or _may_run_again(known):
             detail = "the first request with this key was not run; send it again"
             self._refuse(
                 waiter.request, Refusal(ErrorKind.OVERLOADED, detail, "", 0.1), waiter.reply
             )
             return
-        ended = Request(waiter.request, ServiceName(""), 0, False, 0.0, 0.0)
-        self._repeat(known, ended, waiter.key, waiter.reply)
+        repeat = Request(waiter.request, ServiceName(""), 0, False, 0.0, 0.0)
+        self._repeat(known, repeat, waiter.key, waiter.reply)
 
     def _expire(self, now: float) -> None:
-        """Refuse keyed requests whose record does not come back in time; they never run."""
-        for request, held in list(self._held.items()):
-            if not held.key or self._flies(request) or held.reply is None:
+        """Refuse keyed requests whose record is not applied by their deadline; they never run."""
+        for request, context in list(self._contexts.items()):
+            if not context.key or self._is_routed(request) or context.reply is None:
                 continue
-            if now > held.deadline:
-                del self._held[request]
+            if now > context.deadline:
+                del self._contexts[request]
                 detail = "the key's record did not reach the log in time"
                 self._refuse(
-                    request, Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), held.reply
+                    request, Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), context.reply
                 )
 
     def tick(self, now: float) -> None:
-        """Answer repeats whose first one has ended, and what waited for its key too long."""
+        """Answer repeats whose first request has ended, and refuse requests past their deadline."""
         for waiter in list(self._waiters):
             known = self._core.ledger.keys.get(waiter.key)
-            waits = known is not None and self._key_error(known) is ErrorKind.KEY_IN_PROGRESS
-            if not waits or now >= waiter.deadline:
+            in_progress = known is not None and self._key_error(known) is ErrorKind.KEY_IN_PROGRESS
+            if not in_progress or now >= waiter.deadline:
                 self._waiters.remove(waiter)
                 self._finish_waiter(waiter, known)
         self._expire(now)
 
 
-def _text(body: bytes) -> str | None:
+def _decode_text(body: bytes) -> str | None:
     try:
         return body.decode()
     except UnicodeDecodeError:
         return None
 
 
-def _is_free(key: Key) -> bool:
+def _may_run_again(key: Key) -> bool:
     return key.done is not None and key.done.outcome is Outcome.NOT_RUN
--- a/spoolcrank/known_runners.py
+++ b/spoolcrank/known_runners.py
@@ -1,37 +1,40 @@
-"""Keep what a router knows of its own runners and of its peers': slots and latencies."""
+"""Track the slots and latencies of a router's own runners and of its peers' runners."""
 
 from collections.abc import Iterable
 
 from spoolcrank.ids import AvailabilityZone, InstanceId, ServiceName
-from spoolcrank.route_state import FIRST_GUESS_S, FreeSlots, PeerRunners, Router, Runner
+from spoolcrank.route_state import INITIAL_LATENCY_S, FreeSlots, PeerRunners, Router, Runner
 
-_SMOOTHING = 0.25
-"""Weight of one answer in a runner's latency."""
+_RUNNER_SMOOTHING = 0.25
+"""Minimum weight of one answer in the moving average of a runner's latency."""
 
-_USUAL_SMOOTHING = 0.025
-"""Weight of one answer in its service's usual latency; ten times as slow as a runner's."""
+_SERVICE_SMOOTHING = 0.025
+"""Weight of one answer in the moving average of a service's latency.
 
-_FADE_AFTER_S = 1.0
-"""A runner without an answer for so long is little known, s."""
+This average changes ten times as slowly as that of a single runner.
+"""
 
-_FADE = 0.1
-"""Share of the way to the usual latency that such a runner's goes in a second."""
+_DECAY_AFTER_S = 1.0
+"""Time without an answer after which a runner's latency estimate starts to decay, in seconds."""
 
-_ALIKE = 1.3
-"""Runners within so many times the quickest one's latency count as quick."""
+_DECAY_FACTOR = 0.1
+"""Share of the difference to the typical latency that the decay removes per second."""
+
+_FAST_RATIO = 1.3
+"""Maximum latency of a runner that counts as fast, as a multiple of the fastest one's."""
 
 
 def sync_runners(router: Router, current: Iterable[Runner]) -> None:
-    """Take the list of runners that we own now; counts of known ones are kept."""
-    fresh = {runner.server: runner for runner in current}
-    for server, runner in fresh.items():
+    """Replace the list of own runners; known ones keep their counters and latencies."""
+    owned = {runner.server: runner for runner in current}
+    for server, runner in owned.items():
         known = router.runners.get(server)
         if known is not None:
             known.slots = runner.slots
-            known.open_from = runner.open_from
-            known.held = runner.held
-            fresh[server] = known
-    router.runners = fresh
+            known.withheld_until = runner.withheld_until
+            known.withheld_slots = runner.withheld_slots
+            owned[server] = known
+    router.runners = owned
 
 
 def on_peer_slots(
@@ -41,41 +44,49 @@
     free: dict[ServiceName, list[FreeSlots]],
     now: float,
 ) -> None:
-    """Take what a peer tells of its free slots.
+    """Record the free slots that a peer reports.
 
-    Only its quick runners count, as long as any has a free slot.
+    Only the fast ones among its runners with free slots are counted.
     """
     for service, known in router.peers.items():
         if service not in free:
             known.pop(peer, None)
     for service, runners in free.items():
-        open_runners = [one for one in runners if one.slots > 0]
-        quickest = min((one.latency_s for one in open_runners), default=FIRST_GUESS_S)
-        count = sum(one.slots for one in open_runners if one.latency_s <= _ALIKE * quickest)
-        found = PeerRunners(peer, zone, count, now, quickest)
-        router.peers.setdefault(service, {})[peer] = found
+        open_runners = [runner for runner in runners if runner.slots > 0]
+        fastest_s = min((runner.latency_s for runner in open_runners), default=INITIAL_LATENCY_S)
+        count = sum(
+            runner.slots for runner in open_runners if runner.latency_s <= _FAST_RATIO * fastest_s
+        )
+        reported = PeerRunners(peer, zone, count, now, fastest_s)
+        router.peers.setdefault(service, {})[peer] = reported
 
 
-def learn_latency(router: Router, runner: Runner, latency_s: float, now: float) -> None:
-    """Take the time of one answer into what is known of a runner and its service."""
+def record_latency(router: Router, runner: Runner, latency_s: float, now: float) -> None:
+    """Update the latency estimates of a runner and its service with the latency of one answer."""
     runner.samples += 1
     runner.sampled_at = now
-    weight = max(_SMOOTHING, 1.0 / runner.samples)
+    weight = max(_RUNNER_SMOOTHING, 1.0 / runner.samples)
     runner.latency_s += weight * (latency_s - runner.latency_s)
-    usual = router.usual_s.get(runner.service, latency_s)
-    router.usual_s[runner.service] = usual + _USUAL_SMOOTHING * (latency_s - usual)
-    tail = router.tail_s.get(runner.service, latency_s)
+    typical_s = router.typical_latency_s.get(runner.service, latency_s)
+    router.typical_latency_s[runner.service] = typical_s + _SERVICE_SMOOTHING * (
+        latency_s - typical_s
+    )
+    tail = router.tail_latency_s.get(runner.service, latency_s)
     step = 0.05 * max(tail, 1e-4)
-    router.tail_s[runner.service] = tail + (step * 0.95 if latency_s > tail else -step * 0.05)
+    router.tail_latency_s[runner.service] = tail + (
+        step * 0.95 if latency_s > tail else -step * 0.05
+    )
 
 
-def fade(router: Router, now: float) -> None:
-    """Let what is known of runners that get no requests fade towards the usual.
+def decay_latencies(router: Router, now: float) -> None:
+    """Move the latency estimates of runners without recent answers towards the typical latency.
 
-    They are tried again that way, a request at a time. To be called once a second.
+    A runner that was slow is thus tried again, one request at a time. Call this once a second.
     """
     for runner in router.runners.values():
-        if now - runner.sampled_at > _FADE_AFTER_S:
-            known = [one.latency_s for one in router.peers.get(runner.service, {}).values()]
-            usual = min([*known, router.usual_s.get(runner.service, runner.latency_s)])
-            runner.latency_s += _FADE * (usual - runner.latency_s)
+        if now - runner.sampled_at > _DECAY_AFTER_S:
+            known = [peer.latency_s for peer in router.peers.get(runner.service, {}).values()]
+            typical_s = min(
+                [*known, router.typical_latency_s.get(runner.service, runner.latency_s)]
+            )
+            runner.latency_s += _DECAY_FACTOR * (typical_s - runner.latency_s)
--- a/spoolcrank/open_requests.py
+++ b/spoolcrank/open_requests.py
@@ -1,4 +1,4 @@
-"""Keep what is known of each request that has no answer yet."""
+"""Track the requests that have no answer yet, and log those that a stop abandons."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,13 +7,16 @@
 
 from spoolcrank._web import HttpRequest, Reply, Unsent
 
-GIVEN_UP_LINES = 20
-"""Of one stop, lines that name a request without an answer; line `stop` has the number of all. A
-choice: enough to see what they wait for, a fifth of the lines about failures of one second."""
+MAX_GIVEN_UP_LINES = 20
+"""Maximum number of `given-up` log lines per stop.
+
+This is enough to see what the requests wait for, and a fifth of the lines that failures may log
+in one second. The `stop` line has the number of all unanswered requests.
+"""
 
 
 class Waits(Enum):
-    """What a request without an answer waits for; CLIENT: that it reads what was answered."""
+    """What an unanswered request waits for; CLIENT: for the client to read the answer."""
 
     NOTHING = "nothing"
     APPEND = "append"
@@ -24,13 +27,13 @@
 
 @dataclass(eq=False)
 class Asked:
-    """One request that was read whole and has no answer yet.
+    """One request that was read completely and has no answer yet.
 
     Attributes:
-        request: as it came.
-        reply: the way to answer it.
-        came_at: when it was read whole, s of the monotonic clock.
-        waits: for what.
+        request: the request as received.
+        reply: sends the answer.
+        came_at: when it was read completely, in seconds of the monotonic clock.
+        waits: what the request waits for.
     """
 
     request: HttpRequest
@@ -40,7 +43,7 @@
 
 
 class OpenRequests:
-    """The requests of one address that have no answer yet, oldest first."""
+    """The unanswered requests of one listening address, oldest first."""
 
     def __init__(self) -> None:
         self._asked: dict[Asked, None] = {}
@@ -49,28 +52,28 @@
         return len(self._asked)
 
     def begin(self, asked: Asked) -> None:
-        """Take a request that was read whole."""
+        """Add a request that was read completely."""
         self._asked[asked] = None
 
     def end(self, asked: Asked) -> bool:
-        """Take note that a request gets its answer; returns False if it had one."""
+        """Remove a request that is being answered; return False if it already has an answer."""
         if asked not in self._asked:
             return False
         del self._asked[asked]
         return True
 
     def oldest_first(self) -> list[Asked]:
-        """Return the requests without an answer."""
+        """Return the unanswered requests in the order of their arrival."""
         return list(self._asked)
 
 
-class GivenUp(NamedTuple):
-    """One request whose answer a stop did not give, or not whole.
+class AbandonedRequest(NamedTuple):
+    """One request whose answer a stop did not send, or not completely.
 
     Attributes:
         method, path: of the request.
-        read_at: when it was read, s of the monotonic clock.
-        waits: for what.
+        read_at: when it was read, in seconds of the monotonic clock.
+        waits: what the request waits for.
     """
 
     method: str
@@ -79,26 +82,28 @@
     waits: Waits
 
 
-def given_up(asked: OpenRequests, unsent: list[Unsent]) -> list[GivenUp]:
-    """Return what a stop gives up: requests without an answer, and answers not handed on whole."""
+def given_up(asked: OpenRequests, unsent: list[Unsent]) -> list[AbandonedRequest]:
+    """Return the requests that a stop abandons: unanswered, or with a partly sent answer."""
     waiting = [
-        GivenUp(one.request.method, one.request.path, one.came_at, one.waits)
-        for one in asked.oldest_first()
+        AbandonedRequest(
+            unanswered.request.method, unanswered.request.path, unanswered.came_at, unanswered.waits
+        )
+        for unanswered in asked.oldest_first()
     ]
-    return waiting + [GivenUp(*one, Waits.CLIENT) for one in unsent]
+    return waiting + [AbandonedRequest(*answer, Waits.CLIENT) for answer in unsent]
 
 
 def tell_given_up(
-    requests: list[GivenUp], stopped_at: float, now: float, log: Callable[..., None]
+    requests: list[AbandonedRequest], stopped_at: float, now: float, log: Callable[..., None]
 ) -> None:
-    """Write one line for each request that a stop gives up."""
-    for one in requests[:GIVEN_UP_LINES]:
+    """Log one line for each abandoned request, up to `MAX_GIVEN_UP_LINES`."""
+    for request in requests[:MAX_GIVEN_UP_LINES]:
         log(
             "given-up",
             grave=True,
-            method=one.method,
-            path=one.path,
-            age_s=round(now - one.read_at, 3),
-            read_after_signal_s=round(one.read_at - stopped_at, 3),
-            waits=one.waits.value,
+            method=request.method,
+            path=request.path,
+            age_s=round(now - request.read_at, 3),
+            read_after_signal_s=round(request.read_at - stopped_at, 3),
+            waits=request.waits.value,
         )
--- a/spoolcrank/route_choice.py
+++ b/spoolcrank/route_choice.py
@@ -1,42 +1,45 @@
-"""Choose the runner or the peer that a request goes to."""
+"""Choose the runner or the peer to which a request is sent."""
 
 from spoolcrank.policy import Policy
-from spoolcrank.route_state import FIRST_GUESS_S, Flight, PeerRunners, Router, Runner
+from spoolcrank.route_state import INITIAL_LATENCY_S, Flight, PeerRunners, Router, Runner
 
-_SPREAD = 1.0
-"""By how much a full runner costs more than an idle one, in its latencies."""
+_LOAD_PENALTY = 1.0
+"""Cost added to a runner whose slots are all busy, as a multiple of its latency."""
 
-_NEAR_HOP_S = 0.004
-"""Of a forward within the availability zone, s."""
+_SAME_ZONE_HOP_S = 0.004
+"""Cost of forwarding a request within the availability zone, in seconds."""
 
-_FAR_HOP_S = 0.006
-"""Of a forward to another availability zone, s: 1 to 1.5 ms more each way."""
+_CROSS_ZONE_HOP_S = 0.006
+"""Cost of forwarding a request to another availability zone, in seconds.
+
+Each way takes 1 to 1.5 ms more than within the zone.
+"""
 
 
 def slot_limit(router: Router, runner: Runner, policy: Policy, now: float) -> int:
-    """Return how many requests a runner may have at once now; fewer where it fails or is slow."""
+    """Return how many requests a runner may run at once now; fewer if it fails or is slow."""
     slots = runner.slots
-    if now < runner.open_from:
-        slots = max(0, slots - runner.held)
+    if now < runner.withheld_until:
+        slots = max(0, slots - runner.withheld_slots)
     if runner.failures >= policy.routing.suspect_failures:
-        return min(slots, 1) if now >= runner.out_until else 0
-    usual = router.usual_s.get(runner.service, FIRST_GUESS_S)
-    if runner.samples and runner.latency_s > policy.routing.slow_ratio * usual:
+        return min(slots, 1) if now >= runner.next_probe_at else 0
+    typical_s = router.typical_latency_s.get(runner.service, INITIAL_LATENCY_S)
+    if runner.samples and runner.latency_s > policy.routing.slow_ratio * typical_s:
         return min(slots, max(1, runner.slots // 2))
     return slots
 
 
-def best_runner(router: Router, flight: Flight, policy: Policy, now: float) -> Runner | None:
-    """Return the own runner of lowest cost with a free slot, or None."""
+def best_runner(router: Router, call: Flight, policy: Policy, now: float) -> Runner | None:
+    """Return the cheapest of our own runners with a free slot, or None."""
     best: Runner | None = None
     best_cost = float("inf")
     for runner in router.runners.values():
-        if runner.service != flight.req.service or runner.server in flight.avoid:
+        if runner.service != call.req.service or runner.server in call.avoid:
             continue
         if runner.busy >= slot_limit(router, runner, policy, now):
             continue
         probing = runner.failures >= policy.routing.suspect_failures
-        if probing and not flight.req.repeatable:
+        if probing and not call.req.repeatable:
             continue
         cost = runner_cost(runner)
         if cost < best_cost:
@@ -45,27 +48,29 @@
 
 
 def runner_cost(runner: Runner) -> float:
-    """Return the latency that is likely at a runner, s."""
-    return runner.latency_s * (1.0 + _SPREAD * runner.busy / max(1, runner.slots))
+    """Return the expected latency of a request at a runner, in seconds."""
+    return runner.latency_s * (1.0 + _LOAD_PENALTY * runner.busy / max(1, runner.slots))
 
 
-def peer_cost(router: Router, one: PeerRunners) -> float:
-    """Return the latency that is likely by way of a peer, hop included, s."""
-    return one.latency_s + (_NEAR_HOP_S if one.zone == router.zone else _FAR_HOP_S)
+def peer_cost(router: Router, peer: PeerRunners) -> float:
+    """Return the expected latency of a request forwarded to a peer, in seconds."""
+    return peer.latency_s + (_SAME_ZONE_HOP_S if peer.zone == router.zone else _CROSS_ZONE_HOP_S)
 
 
-def best_peer(router: Router, flight: Flight, policy: Policy, now: float) -> PeerRunners | None:
-    """Return the peer of lowest cost whose runners have a free slot, or None."""
+def best_peer(router: Router, call: Flight, policy: Policy, now: float) -> PeerRunners | None:
+    """Return the cheapest peer whose runners have a free slot, or None."""
     best: PeerRunners | None = None
     best_cost = float("inf")
-    for one in router.peers.get(flight.req.service, {}).values():
-        if one.peer in flight.avoid:
+    for peer in router.peers.get(call.req.service, {}).values():
+        if peer.peer in call.avoid:
             continue
-        if now - one.heard_at > policy.membership.dead_after_s:
+        if now - peer.reported_at > policy.membership.dead_after_s:
             continue
-        under_way = router.forwarded.get(one.peer, {}).values()
-        since = sum(1 for sent in under_way if sent > one.heard_at)
-        cost = peer_cost(router, one) * (1.0 + _SPREAD * since / max(1, one.free_slots))
-        if one.free_slots > since and cost < best_cost:
-            best, best_cost = one, cost
+        sent_times = router.forwarded.get(peer.peer, {}).values()
+        sent_since = sum(1 for sent in sent_times if sent > peer.reported_at)
+        cost = peer_cost(router, peer) * (
+            1.0 + _LOAD_PENALTY * sent_since / max(1, peer.free_slots)
+        )
+        if peer.free_slots > sent_since and cost < best_cost:
+            best, best_cost = peer, cost
     return best
--- a/spoolcrank/route_state.py
+++ b/spoolcrank/route_state.py
@@ -1,4 +1,4 @@
-"""Name what the router keeps, what it is asked, and what it asks for."""
+"""Define the state, the requests and the actions of the request router."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,19 +7,19 @@
 from spoolcrank.errors import Refusal
 from spoolcrank.ids import AvailabilityZone, InstanceId, RequestId, ServiceName
 
-MAX_TOKENS = 20.0
-"""Retries and hedges that may be saved up."""
+MAX_RETRY_TOKENS = 20.0
+"""Maximum number of retries and hedges that the retry budget can accumulate."""
 
-FIRST_GUESS_S = 0.02
-"""Latency of a runner that has answered nothing yet, s."""
+INITIAL_LATENCY_S = 0.02
+"""Assumed latency of a runner that has not answered any request yet, in seconds."""
 
 
 class Request(NamedTuple):
-    """A request as far as routing needs it.
+    """The properties of a request that routing needs.
 
     Attributes:
-        deadline: by the monotonic clock, in seconds.
-        origin: the entry instance that forwarded it; None for a caller's own.
+        deadline: in seconds of the monotonic clock.
+        origin: the entry instance that forwarded the request; None if it came from a caller.
     """
 
     id: RequestId
@@ -32,7 +32,7 @@
 
 
 class Result(Enum):
-    """How an attempt at a runner or a peer came out."""
+    """Result of one attempt to get a request answered by a runner or a peer."""
 
     ANSWERED = "answered"
     SERVICE_ERROR = "service-error"
@@ -44,7 +44,7 @@
 
 
 class ToRunner(NamedTuple):
-    """Send a request to one of our runners."""
+    """Action: send a request to one of our own runners."""
 
     request: RequestId
     attempt: int
@@ -52,7 +52,7 @@
 
 
 class ToPeer(NamedTuple):
-    """Forward a request to the owner of other runners."""
+    """Action: forward a request to a peer that owns runners of its service."""
 
     request: RequestId
     attempt: int
@@ -60,21 +60,21 @@
 
 
 class Refuse(NamedTuple):
-    """Give a request its final answer, an error of ours."""
+    """Action: answer a request with an error of this instance."""
 
     request: RequestId
     refusal: Refusal
 
 
 class Deliver(NamedTuple):
-    """Give a request the answer that an attempt brought."""
+    """Action: answer a request with the response to one of its attempts."""
 
     request: RequestId
     attempt: int
 
 
 class Count(NamedTuple):
-    """Count a decision under a name."""
+    """Action: increment the counter of a routing decision."""
 
     name: str
 
@@ -84,45 +84,59 @@
 
 @dataclass
 class Runner:
-    """One runner that we own."""
+    """One runner that this instance owns.
+
+    Attributes:
+        withheld_until: time until which `withheld_slots` slots are left free, because requests
+            of the previous owner may still occupy them; in seconds of the monotonic clock.
+        failures: consecutive attempts that did not end with `Result.ANSWERED`.
+        next_probe_at: when a runner with too many failures may be tried again.
+        samples: number of latencies recorded.
+    """
 
     server: InstanceId
     service: ServiceName
     slots: int
     busy: int = 0
-    open_from: float = 0.0
-    held: int = 0
+    withheld_until: float = 0.0
+    withheld_slots: int = 0
     failures: int = 0
-    out_until: float = 0.0
-    latency_s: float = FIRST_GUESS_S
+    next_probe_at: float = 0.0
+    latency_s: float = INITIAL_LATENCY_S
     samples: int = 0
     sampled_at: float = 0.0
 
 
 class FreeSlots(NamedTuple):
-    """Free slots of one runner and what a request takes there of late."""
+    """Free slots and recent latency of one runner of a peer."""
 
     slots: int
     latency_s: float
 
 
 class PeerRunners(NamedTuple):
-    """What a peer told of its free slots for one service."""
+    """What a peer's last heartbeat reported about its fast runners of one service."""
 
     peer: InstanceId
     zone: AvailabilityZone
     free_slots: int
-    heard_at: float
-    latency_s: float = FIRST_GUESS_S
+    reported_at: float
+    latency_s: float = INITIAL_LATENCY_S
 
 
 @dataclass
 class Flight:
-    """A request that was not answered yet."""
+    """A request that has not been answered yet.
+
+    Attributes:
+        open_attempts: attempts without a result, with the runner or peer that each was sent to.
+        maybe_ran: whether a runner may have executed the request.
+        avoid: runners and peers that further attempts do not use.
+    """
 
     req: Request
     tries: int = 0
-    open: dict[int, InstanceId] = field(default_factory=dict)
+    open_attempts: dict[int, InstanceId] = field(default_factory=dict)
     sent_at: float = 0.0
     hedged: bool = False
     maybe_ran: bool = False
@@ -131,7 +145,14 @@
 
 @dataclass
 class Router:
-    """The routing state of one entry instance."""
+    """Routing state of one entry instance.
+
+    Attributes:
+        forwarded: per peer, the open forwarded attempts and when each was sent.
+        slot_shares: this instance's share of the fleet's slots, per service.
+        attempt_runners: our runner that each attempt occupies, also after its request was refused.
+        retry_tokens: retry budget; each retry that may repeat work, and each hedge, costs 1.
+    """
 
     me: InstanceId
     zone: AvailabilityZone
@@ -140,9 +161,9 @@
     forwarded: dict[InstanceId, dict[int, float]] = field(default_factory=dict)
     flights: dict[RequestId, Flight] = field(default_factory=dict)
     queue: dict[ServiceName, list[RequestId]] = field(default_factory=dict)
-    shares: dict[ServiceName, float] = field(default_factory=dict)
-    late: dict[int, InstanceId] = field(default_factory=dict)
-    usual_s: dict[ServiceName, float] = field(default_factory=dict)
-    tail_s: dict[ServiceName, float] = field(default_factory=dict)
-    tokens: float = MAX_TOKENS / 2
+    slot_shares: dict[ServiceName, float] = field(default_factory=dict)
+    attempt_runners: dict[int, InstanceId] = field(default_factory=dict)
+    typical_latency_s: dict[ServiceName, float] = field(default_factory=dict)
+    tail_latency_s: dict[ServiceName, float] = field(default_factory=dict)
+    retry_tokens: float = MAX_RETRY_TOKENS / 2
     next_attempt: int = 0
--- a/spoolcrank/routes.py
+++ b/spoolcrank/routes.py
@@ -1,4 +1,4 @@
-"""Match requests to the queues of the configuration in force."""
+"""Match requests to the queues of the current configuration."""
 
 from typing import NamedTuple
 
@@ -7,17 +7,18 @@
 
 
 class Route(NamedTuple):
-    """One queue.
+    """A queue of jobs and the requests that belong to it.
 
     Attributes:
-        name: unique in a configuration.
-        host: the Host header of its requests.
-        prefix: its paths begin so.
-        service: whose runners run its tasks.
-        priority: 0 is first.
-        max_attempts: failed runs of one task that fail a job.
-        objective_ms: fixed part of the time in which a job should finish.
-        stretch: times a job's longest chain that are added to it.
+        name: unique within a configuration.
+        host: Host header of its requests.
+        prefix: prefix of the paths of its requests.
+        service: service whose runners run its tasks.
+        priority: 0 is the highest.
+        max_attempts: number of failed runs of one task after which its job fails.
+        objective_ms: fixed part of the time within which a job should finish.
+        stretch: factor of the duration of a job's longest chain of steps, which is added to
+            `objective_ms`.
     """
 
     name: RouteName
@@ -37,13 +38,13 @@
         self.version = version
         self.routes = routes
         self._by_host: dict[str, list[Route]] = {}
-        for route in sorted(routes, key=lambda one: -len(one.prefix)):
+        for route in sorted(routes, key=lambda candidate: -len(candidate.prefix)):
             self._by_host.setdefault(route.host.lower(), []).append(route)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the queue of the longest prefix, or None."""
-        bare = host.rpartition(":")[0] if ":" in host else host
-        for route in self._by_host.get(bare.lower(), ()):
+        """Return the queue with the longest matching prefix, or None."""
+        hostname = host.rpartition(":")[0] if ":" in host else host
+        for route in self._by_host.get(hostname.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
--- a/spoolcrank/routing.py
+++ b/spoolcrank/routing.py
@@ -1,18 +1,18 @@
-"""Route callers' requests to runners with exact slots, short queues and early refusals.
+"""Route callers' requests to runners with exact slot counts, short queues and early refusals.
 
-An owner counts the slots of its own runners exactly. Others are known by their owners'
-heartbeats and by what was forwarded since. A request that cannot be run in time is refused
-at once, and truthfully: it is "not run" only where no byte of it went to a runner.
+An owner counts the slots of its own runners exactly. It estimates those of other owners from
+their heartbeats and from the requests forwarded since. A request that cannot be answered in time
+is refused at once, and is reported as "not run" only if no byte of it was sent to a runner.
 """
 
 from spoolcrank.errors import ErrorKind, Refusal
 from spoolcrank.ids import InstanceId, RequestId, ServiceName
-from spoolcrank.known_runners import learn_latency
+from spoolcrank.known_runners import record_latency
 from spoolcrank.policy import Policy
 from spoolcrank.route_choice import best_peer, best_runner, peer_cost, runner_cost, slot_limit
 from spoolcrank.route_state import (
-    FIRST_GUESS_S,
-    MAX_TOKENS,
+    INITIAL_LATENCY_S,
+    MAX_RETRY_TOKENS,
     Count,
     Deliver,
     Flight,
@@ -28,14 +28,14 @@
 )
 
 _MAX_TRIES = 4
-_QUEUE_TRIES = 3
-_MIN_QUEUE = 8
+_MAX_TRIES_BEFORE_QUEUE = 3
+_MIN_QUEUE_LENGTH = 8
 _MIN_RETRY_AFTER_S = 0.05
-_FORWARD_MAX_S = 60.0
+_FORWARD_TTL_S = 60.0
 
 
 def free_slots(router: Router, server: InstanceId, policy: Policy, now: float) -> int:
-    """Return how many requests a runner of ours could take from peers now."""
+    """Return how many requests from peers one of our runners can accept now."""
     runner = router.runners.get(server)
     if runner is None:
         return 0
@@ -43,157 +43,156 @@
     return max(0, slot_limit(router, runner, policy, now) - runner.busy - waiting)
 
 
-def known_slots(router: Router, service: ServiceName) -> float:
-    """Return the slots that we may count on: our own, or our share of the fleet's."""
-    own = sum(one.slots for one in router.runners.values() if one.service == service)
-    return max(own, router.shares.get(service, 0.0))
+def usable_slots(router: Router, service: ServiceName) -> float:
+    """Return the larger of our own slots and our share of the fleet's slots for a service."""
+    own = sum(runner.slots for runner in router.runners.values() if runner.service == service)
+    return max(own, router.slot_shares.get(service, 0.0))
 
 
 def submit(router: Router, req: Request, policy: Policy, now: float) -> list[RouteAction]:
-    """Take a request in: run it, forward it, queue it or refuse it."""
-    flight = Flight(req)
-    router.flights[req.id] = flight
-    router.tokens = min(MAX_TOKENS, router.tokens + policy.routing.retry_share)
+    """Accept a request: run it, forward it, queue it or refuse it."""
+    call = Flight(req)
+    router.flights[req.id] = call
+    router.retry_tokens = min(MAX_RETRY_TOKENS, router.retry_tokens + policy.routing.retry_share)
     if req.deadline <= now:
-        return _refuse(router, flight, ErrorKind.DEADLINE_EXCEEDED, "came past its deadline", 0)
+        return _refuse(router, call, ErrorKind.DEADLINE_EXCEEDED, "arrived after its deadline", 0)
     if not router.queue.get(req.service):
-        sent = _dispatch(router, flight, policy, now)
+        sent = _dispatch(router, call, policy, now)
         if sent is not None:
             return [sent]
-    return _enqueue(router, flight, policy, now)
+    return _enqueue(router, call, policy, now)
 
 
-def _dispatch(
-    router: Router, flight: Flight, policy: Policy, now: float
-) -> ToRunner | ToPeer | None:
-    runner = best_runner(router, flight, policy, now)
-    peer = best_peer(router, flight, policy, now) if flight.req.origin is None else None
-    if runner is not None and (peer is None or not _much_slower(router, runner, peer, policy)):
-        return _send_to_runner(router, flight, runner, now)
+def _dispatch(router: Router, call: Flight, policy: Policy, now: float) -> ToRunner | ToPeer | None:
+    runner = best_runner(router, call, policy, now)
+    peer = best_peer(router, call, policy, now) if call.req.origin is None else None
+    if runner is not None and (peer is None or not _prefers_peer(router, runner, peer, policy)):
+        return _send_to_runner(router, call, runner, now)
     if peer is not None:
-        return _send_to_peer(router, flight, peer.peer, now)
+        return _send_to_peer(router, call, peer.peer, now)
     return None
 
 
-def _much_slower(router: Router, runner: Runner, peer: PeerRunners, policy: Policy) -> bool:
-    """Tell whether a peer's runner is worth a hop although one of ours is free."""
+def _prefers_peer(router: Router, runner: Runner, peer: PeerRunners, policy: Policy) -> bool:
+    """Return whether a peer's runner is fast enough to be preferred to a free one of ours."""
     return runner_cost(runner) > policy.routing.steer_ratio * peer_cost(router, peer)
 
 
-def _attempt(router: Router, flight: Flight, target: InstanceId, now: float) -> int:
+def _begin_attempt(router: Router, call: Flight, target: InstanceId, now: float) -> int:
     router.next_attempt += 1
-    flight.tries += 1
-    flight.sent_at = now
-    flight.open[router.next_attempt] = target
+    call.tries += 1
+    call.sent_at = now
+    call.open_attempts[router.next_attempt] = target
     return router.next_attempt
 
 
-def _send_to_runner(router: Router, flight: Flight, runner: Runner, now: float) -> ToRunner:
+def _send_to_runner(router: Router, call: Flight, runner: Runner, now: float) -> ToRunner:
     runner.busy += 1
-    if runner.out_until:
-        runner.out_until = now + 1.0
-    attempt = _attempt(router, flight, runner.server, now)
-    router.late[attempt] = runner.server
-    return ToRunner(flight.req.id, attempt, runner.server)
+    if runner.next_probe_at:
+        runner.next_probe_at = now + 1.0
+    attempt = _begin_attempt(router, call, runner.server, now)
+    router.attempt_runners[attempt] = runner.server
+    return ToRunner(call.req.id, attempt, runner.server)
 
 
-def _send_to_peer(router: Router, flight: Flight, peer: InstanceId, now: float) -> ToPeer:
-    attempt = _attempt(router, flight, peer, now)
+def _send_to_peer(router: Router, call: Flight, peer: InstanceId, now: float) -> ToPeer:
+    attempt = _begin_attempt(router, call, peer, now)
     router.forwarded.setdefault(peer, {})[attempt] = now
-    return ToPeer(flight.req.id, attempt, peer)
+    return ToPeer(call.req.id, attempt, peer)
 
 
-def _queue_room(router: Router, service: ServiceName, policy: Policy) -> int:
-    own = known_slots(router, service)
-    return max(_MIN_QUEUE, round(policy.routing.queue_per_slot * own))
+def _queue_limit(router: Router, service: ServiceName, policy: Policy) -> int:
+    own = usable_slots(router, service)
+    return max(_MIN_QUEUE_LENGTH, round(policy.routing.queue_per_slot * own))
 
 
-def wait_estimate(router: Router, service: ServiceName, ahead: int) -> float:
-    """Return how long a request waits behind `ahead` others, in seconds."""
-    usual = router.usual_s.get(service, FIRST_GUESS_S)
-    return usual * (ahead + 1) / max(1.0, known_slots(router, service))
+def estimate_wait_s(router: Router, service: ServiceName, ahead: int) -> float:
+    """Return the estimated wait behind `ahead` queued requests, in seconds."""
+    typical_s = router.typical_latency_s.get(service, INITIAL_LATENCY_S)
+    return typical_s * (ahead + 1) / max(1.0, usable_slots(router, service))
 
 
-def _order(flight: Flight) -> tuple[int, float]:
-    return (-flight.req.urgency, flight.req.deadline)
+def _queue_rank(call: Flight) -> tuple[int, float]:
+    return (-call.req.urgency, call.req.deadline)
 
 
-def _enqueue(router: Router, flight: Flight, policy: Policy, now: float) -> list[RouteAction]:
-    req = flight.req
-    elsewhere = _queue_at_owner(router, flight, policy, now)
-    if elsewhere is not None:
-        return [elsewhere, Count("route.queued-at-owner")]
+def _enqueue(router: Router, call: Flight, policy: Policy, now: float) -> list[RouteAction]:
+    req = call.req
+    sent_to_owner = _queue_at_owner(router, call, policy, now)
+    if sent_to_owner is not None:
+        return [sent_to_owner, Count("route.queued-at-owner")]
     waiting = router.queue.setdefault(req.service, [])
-    ahead = sum(1 for other in waiting if _order(router.flights[other]) <= _order(flight))
-    wait_s = wait_estimate(router, req.service, ahead)
-    usual = router.usual_s.get(req.service, FIRST_GUESS_S)
-    if now + wait_s + usual > req.deadline:
-        detail = f"would wait {wait_s:.3f} s, past its deadline"
-        return _refuse(router, flight, ErrorKind.OVERLOADED, detail, wait_s)
-    if not _reachable(router, flight, policy, now):
-        detail = f"no runner of {req.service} can be reached"
-        return _refuse(router, flight, ErrorKind.NO_RUNNER, detail, policy.routing.probe_s)
+    ahead = sum(1 for other in waiting if _queue_rank(router.flights[other]) <= _queue_rank(call))
+    wait_s = estimate_wait_s(router, req.service, ahead)
+    typical_s = router.typical_latency_s.get(req.service, INITIAL_LATENCY_S)
+    if now + wait_s + typical_s > req.deadline:
+        detail = f"the estimated wait of {wait_s:.3f} s exceeds the deadline"
+        return _refuse(router, call, ErrorKind.OVERLOADED, detail, wait_s)
+    if not _reachable(router, call, policy, now):
+        detail = f"no runner of {req.service} is reachable"
+        return _refuse(router, call, ErrorKind.NO_RUNNER, detail, policy.routing.probe_s)
     actions: list[RouteAction] = []
-    if len(waiting) >= _queue_room(router, req.service, policy):
-        worst = max(waiting, key=lambda other: _order(router.flights[other]))
-        if _order(router.flights[worst])[0] <= _order(flight)[0]:
-            detail = f"all slots of {req.service} are taken and the queue is full"
-            return _refuse(router, flight, ErrorKind.OVERLOADED, detail, wait_s)
-        detail = f"gave way to a more urgent request for {req.service}"
+    if len(waiting) >= _queue_limit(router, req.service, policy):
+        worst = max(waiting, key=lambda other: _queue_rank(router.flights[other]))
+        if _queue_rank(router.flights[worst])[0] <= _queue_rank(call)[0]:
+            detail = f"all slots of {req.service} are busy and the queue is full"
+            return _refuse(router, call, ErrorKind.OVERLOADED, detail, wait_s)
+        detail = f"removed from the full queue by a more urgent request for {req.service}"
         actions += _refuse(router, router.flights[worst], ErrorKind.OVERLOADED, detail, wait_s)
     waiting.append(req.id)
     return [*actions, Count("route.queued")]
 
 
-def _queue_at_owner(router: Router, flight: Flight, policy: Policy, now: float) -> ToPeer | None:
-    """Let a request wait with an owner, where slots come free, if we own no runner.
+def _queue_at_owner(router: Router, call: Flight, policy: Policy, now: float) -> ToPeer | None:
+    """Forward a request to an owner's queue if we own no runner of its service.
 
-    A queue of our own would see a free slot only after the owners' queues are empty.
+    Owners serve their own queues first, so a request queued here would get a slot only after
+    those queues are empty.
     """
-    service = flight.req.service
-    if flight.req.origin is not None or flight.tries >= _QUEUE_TRIES:
+    service = call.req.service
+    if call.req.origin is not None or call.tries >= _MAX_TRIES_BEFORE_QUEUE:
         return None
-    if any(one.service == service for one in router.runners.values()):
+    if any(runner.service == service for runner in router.runners.values()):
         return None
-    heard = [
-        one.peer
-        for one in router.peers.get(service, {}).values()
-        if now - one.heard_at <= policy.membership.dead_after_s and one.peer not in flight.avoid
+    reachable = [
+        info.peer
+        for info in router.peers.get(service, {}).values()
+        if now - info.reported_at <= policy.membership.dead_after_s and info.peer not in call.avoid
     ]
-    if not heard:
+    if not reachable:
         return None
-    least = min(heard, key=lambda peer: len(router.forwarded.get(peer, {})))
-    return _send_to_peer(router, flight, least, now)
+    least_loaded = min(reachable, key=lambda peer: len(router.forwarded.get(peer, {})))
+    return _send_to_peer(router, call, least_loaded, now)
 
 
-def _reachable(router: Router, flight: Flight, policy: Policy, now: float) -> bool:
-    """Tell whether a slot may come free for a request here.
+def _reachable(router: Router, call: Flight, policy: Policy, now: float) -> bool:
+    """Return whether any runner that this request may use can still free a slot.
 
-    A forwarded request waits for our own runners alone; once they are handed over, its
-    origin must know at once, to send it elsewhere.
+    A forwarded request uses only our own runners. Once they are handed over, it must be refused
+    at once, so that its origin can send it to another owner.
     """
-    service = flight.req.service
-    own = any(one.service == service for one in router.runners.values())
-    if flight.req.origin is not None:
+    service = call.req.service
+    own = any(runner.service == service for runner in router.runners.values())
+    if call.req.origin is not None:
         return own
-    heard = router.peers.get(service, {}).values()
-    return own or any(now - one.heard_at <= policy.membership.dead_after_s for one in heard)
+    peers = router.peers.get(service, {}).values()
+    return own or any(now - peer.reported_at <= policy.membership.dead_after_s for peer in peers)
 
 
 def _refuse(
-    router: Router, flight: Flight, kind: ErrorKind, detail: str, retry_after_s: float
+    router: Router, call: Flight, kind: ErrorKind, detail: str, retry_after_s: float
 ) -> list[RouteAction]:
-    _forget(router, flight)
-    after = max(_MIN_RETRY_AFTER_S, retry_after_s) if kind is ErrorKind.OVERLOADED else 0.0
-    refusal = Refusal(kind, detail, retry_after_s=after or retry_after_s)
-    return [Refuse(flight.req.id, refusal)]
+    _discard(router, call)
+    delay_s = max(_MIN_RETRY_AFTER_S, retry_after_s) if kind is ErrorKind.OVERLOADED else 0.0
+    refusal = Refusal(kind, detail, retry_after_s=delay_s or retry_after_s)
+    return [Refuse(call.req.id, refusal)]
 
 
-def _forget(router: Router, flight: Flight) -> None:
-    router.flights.pop(flight.req.id, None)
-    waiting = router.queue.get(flight.req.service, [])
-    if flight.req.id in waiting:
-        waiting.remove(flight.req.id)
+def _discard(router: Router, call: Flight) -> None:
+    router.flights.pop(call.req.id, None)
+    waiting = router.queue.get(call.req.service, [])
+    if call.req.id in waiting:
+        waiting.remove(call.req.id)
 
 
 def on_result(
@@ -205,55 +204,55 @@
     now: float,
     refusal: Refusal | None = None,
 ) -> list[RouteAction]:
-    """Take the outcome of an attempt.
+    """Handle the result of an attempt: free its slot, then answer, retry or refuse its request.
 
     Args:
         router: changed in place.
         request: the request that the attempt was for.
         attempt: the attempt's number.
-        result: how it came out.
+        result: how the attempt ended.
         policy: the configuration in force.
-        now: the present time.
-        refusal: a peer's refusal, with `Result.REFUSED`.
+        now: the present time, in seconds of the monotonic clock.
+        refusal: the peer's refusal if `result` is `Result.REFUSED`.
     """
-    flight = router.flights.get(request)
-    _release(router, flight, attempt, result, policy, now)
+    call = router.flights.get(request)
+    _release_slot(router, call, attempt, result, policy, now)
     actions: list[RouteAction] = []
-    if flight is not None and attempt in flight.open:
-        target = flight.open.pop(attempt)
-        actions += _settle(router, flight, attempt, target, result, refusal, policy, now)
+    if call is not None and attempt in call.open_attempts:
+        target = call.open_attempts.pop(attempt)
+        actions += _apply_result(router, call, attempt, target, result, refusal, policy, now)
     actions += _drain_queues(router, policy, now)
     return actions
 
 
-def _release(
+def _release_slot(
     router: Router,
-    flight: Flight | None,
+    call: Flight | None,
     attempt: int,
     result: Result,
     policy: Policy,
     now: float,
 ) -> None:
-    for under_way in router.forwarded.values():
-        under_way.pop(attempt, None)
-    server = router.late.pop(attempt, None)
+    for sent_times in router.forwarded.values():
+        sent_times.pop(attempt, None)
+    server = router.attempt_runners.pop(attempt, None)
     runner = router.runners.get(server) if server is not None else None
     if runner is None:
         return
     runner.busy = max(0, runner.busy - 1)
     if result is Result.ANSWERED:
         runner.failures = 0
-        runner.out_until = 0.0
+        runner.next_probe_at = 0.0
     else:
         runner.failures += 1
-        runner.out_until = now + policy.routing.probe_s
-    if flight is not None and result is Result.ANSWERED and attempt in flight.open:
-        learn_latency(router, runner, now - flight.sent_at, now)
+        runner.next_probe_at = now + policy.routing.probe_s
+    if call is not None and result is Result.ANSWERED and attempt in call.open_attempts:
+        record_latency(router, runner, now - call.sent_at, now)
 
 
-def _settle(
+def _apply_result(
     router: Router,
-    flight: Flight,
+    call: Flight,
     attempt: int,
     target: InstanceId,
     result: Result,
@@ -262,43 +261,43 @@
     now: float,
 ) -> list[RouteAction]:
     if result in (Result.ANSWERED, Result.SERVICE_ERROR):
-        _forget(router, flight)
-        return [Deliver(flight.req.id, attempt)]
-    flight.avoid.add(target)
+        _discard(router, call)
+        return [Deliver(call.req.id, attempt)]
+    call.avoid.add(target)
     ran = result in (Result.CUT, Result.SILENT, Result.FOREIGN)
-    flight.maybe_ran = flight.maybe_ran or ran
-    if flight.open:
+    call.maybe_ran = call.maybe_ran or ran
+    if call.open_attempts:
         return [Count(f"retry.none.{result.value}")]
-    return _try_again(router, flight, target, result, refusal, policy, now)
+    return _retry(router, call, target, result, refusal, policy, now)
 
 
-def _try_again(
+def _retry(
     router: Router,
-    flight: Flight,
+    call: Flight,
     target: InstanceId,
     result: Result,
     refusal: Refusal | None,
     policy: Policy,
     now: float,
 ) -> list[RouteAction]:
-    if flight.maybe_ran and not flight.req.repeatable:
-        return _refuse(router, flight, _kind_of(router, target, result), _detail(target, result), 0)
-    may = flight.tries < _MAX_TRIES and now < flight.req.deadline
-    paid = not flight.maybe_ran or router.tokens >= 1.0
-    if may and paid:
-        if flight.maybe_ran:
-            router.tokens -= 1.0
-        sent = _dispatch(router, flight, policy, now)
+    if call.maybe_ran and not call.req.repeatable:
+        return _refuse(router, call, _kind_of(router, target, result), _detail(target, result), 0)
+    can_retry = call.tries < _MAX_TRIES and now < call.req.deadline
+    has_budget = not call.maybe_ran or router.retry_tokens >= 1.0
+    if can_retry and has_budget:
+        if call.maybe_ran:
+            router.retry_tokens -= 1.0
+        sent = _dispatch(router, call, policy, now)
         if sent is not None:
             return [sent, Count(f"retry.{result.value}")]
-        if flight.req.origin is None and not flight.maybe_ran:
-            return _enqueue(router, flight, policy, now)
-    if flight.maybe_ran:
-        return _refuse(router, flight, _kind_of(router, target, result), _detail(target, result), 0)
+        if call.req.origin is None and not call.maybe_ran:
+            return _enqueue(router, call, policy, now)
+    if call.maybe_ran:
+        return _refuse(router, call, _kind_of(router, target, result), _detail(target, result), 0)
     if refusal is not None:
-        return _refuse(router, flight, refusal.kind, refusal.detail, refusal.retry_after_s)
-    detail = f"no other runner of {flight.req.service} could take it"
-    return _refuse(router, flight, ErrorKind.NO_RUNNER, detail, policy.routing.probe_s)
+        return _refuse(router, call, refusal.kind, refusal.detail, refusal.retry_after_s)
+    detail = f"no other runner of {call.req.service} could accept the request"
+    return _refuse(router, call, ErrorKind.NO_RUNNER, detail, policy.routing.probe_s)
 
 
 def _kind_of(router: Router, target: InstanceId, result: Result) -> ErrorKind:
@@ -310,83 +309,83 @@
 
 
 def _detail(target: InstanceId, result: Result) -> str:
-    return f"{target} had the request and its answer did not come ({result.value})"
+    return f"{target} was sent the request but returned no valid answer ({result.value})"
 
 
 def _drain_queues(router: Router, policy: Policy, now: float) -> list[RouteAction]:
     actions: list[RouteAction] = []
     for waiting in router.queue.values():
         while waiting:
-            best = min(waiting, key=lambda other: _order(router.flights[other]))
-            flight = router.flights[best]
-            sent = _dispatch(router, flight, policy, now)
+            first = min(waiting, key=lambda other: _queue_rank(router.flights[other]))
+            call = router.flights[first]
+            sent = _dispatch(router, call, policy, now)
             if sent is None:
                 break
-            waiting.remove(best)
+            waiting.remove(first)
             actions.append(sent)
     return actions
 
 
 def tick(router: Router, policy: Policy, now: float) -> list[RouteAction]:
-    """Refuse what cannot be served in time any more, hedge, and empty the queues."""
+    """Refuse requests that can no longer be answered in time, hedge slow ones, drain the queues."""
     actions: list[RouteAction] = []
-    for flight in list(router.flights.values()):
-        if now >= flight.req.deadline:
-            actions += _expire(router, flight)
-        elif not flight.open:
-            actions += _give_up_early(router, flight, policy, now)
+    for call in list(router.flights.values()):
+        if now >= call.req.deadline:
+            actions += _expire(router, call)
+        elif not call.open_attempts:
+            actions += _refuse_early(router, call, policy, now)
         else:
-            actions += _hedge(router, flight, policy, now)
-    for under_way in router.forwarded.values():
-        for attempt in [one for one, at in under_way.items() if now - at > _FORWARD_MAX_S]:
-            del under_way[attempt]
+            actions += _hedge(router, call, policy, now)
+    for sent_times in router.forwarded.values():
+        for attempt in [number for number, at in sent_times.items() if now - at > _FORWARD_TTL_S]:
+            del sent_times[attempt]
     return actions + _drain_queues(router, policy, now)
 
 
-def _expire(router: Router, flight: Flight) -> list[RouteAction]:
-    if flight.open or flight.maybe_ran:
-        target = next(iter(flight.open.values()), router.me)
+def _expire(router: Router, call: Flight) -> list[RouteAction]:
+    if call.open_attempts or call.maybe_ran:
+        target = next(iter(call.open_attempts.values()), router.me)
         detail = f"{target} did not answer before the deadline"
-        return _refuse(router, flight, ErrorKind.RUNNER_SILENT, detail, 0)
-    return _refuse(router, flight, ErrorKind.DEADLINE_EXCEEDED, "no slot came free in time", 0)
+        return _refuse(router, call, ErrorKind.RUNNER_SILENT, detail, 0)
+    return _refuse(router, call, ErrorKind.DEADLINE_EXCEEDED, "no slot became free in time", 0)
 
 
-def _give_up_early(router: Router, flight: Flight, policy: Policy, now: float) -> list[RouteAction]:
-    if flight.req.origin is not None and not _reachable(router, flight, policy, now):
-        detail = f"{router.me} owns no runner of {flight.req.service} any more"
-        return _refuse(router, flight, ErrorKind.NO_RUNNER, detail, 0)
-    usual = router.usual_s.get(flight.req.service, FIRST_GUESS_S)
-    if flight.maybe_ran or now + usual <= flight.req.deadline:
+def _refuse_early(router: Router, call: Flight, policy: Policy, now: float) -> list[RouteAction]:
+    if call.req.origin is not None and not _reachable(router, call, policy, now):
+        detail = f"{router.me} owns no runner of {call.req.service} any longer"
+        return _refuse(router, call, ErrorKind.NO_RUNNER, detail, 0)
+    typical_s = router.typical_latency_s.get(call.req.service, INITIAL_LATENCY_S)
+    if call.maybe_ran or now + typical_s <= call.req.deadline:
         return []
-    detail = "no slot came free early enough to answer before the deadline"
-    return _refuse(router, flight, ErrorKind.DEADLINE_EXCEEDED, detail, usual)
+    detail = "no slot became free early enough to answer before the deadline"
+    return _refuse(router, call, ErrorKind.DEADLINE_EXCEEDED, detail, typical_s)
 
 
-def _hedge(router: Router, flight: Flight, policy: Policy, now: float) -> list[RouteAction]:
+def _hedge(router: Router, call: Flight, policy: Policy, now: float) -> list[RouteAction]:
     factor = policy.routing.hedge_after
-    if factor <= 0 or flight.hedged or not flight.req.repeatable or flight.req.origin:
+    if factor <= 0 or call.hedged or not call.req.repeatable or call.req.origin:
         return []
-    usual = router.usual_s.get(flight.req.service)
-    if usual is None or router.tokens < 1.0:
+    typical_s = router.typical_latency_s.get(call.req.service)
+    if typical_s is None or router.retry_tokens < 1.0:
         return []
-    patience = max(factor * usual, router.tail_s.get(flight.req.service, 0.0))
-    if now - flight.sent_at < patience:
+    hedge_delay_s = max(factor * typical_s, router.tail_latency_s.get(call.req.service, 0.0))
+    if now - call.sent_at < hedge_delay_s:
         return []
-    flight.avoid |= set(flight.open.values())
-    sent = _dispatch(router, flight, policy, now)
+    call.avoid |= set(call.open_attempts.values())
+    sent = _dispatch(router, call, policy, now)
     if sent is None:
         return []
-    flight.hedged = True
-    router.tokens -= 1.0
+    call.hedged = True
+    router.retry_tokens -= 1.0
     return [sent, Count("retry.hedge")]
 
 
-def forget_peer(router: Router, peer: InstanceId, policy: Policy, now: float) -> list[RouteAction]:
-    """Settle what was forwarded to a peer whose connection broke."""
+def drop_peer(router: Router, peer: InstanceId, policy: Policy, now: float) -> list[RouteAction]:
+    """Fail the attempts forwarded to a peer whose connection was lost."""
     for known in router.peers.values():
         known.pop(peer, None)
     actions: list[RouteAction] = []
-    for request, flight in list(router.flights.items()):
-        for attempt in [number for number, target in flight.open.items() if target == peer]:
+    for request, call in list(router.flights.items()):
+        for attempt in [number for number, target in call.open_attempts.items() if target == peer]:
             actions += on_result(router, request, attempt, Result.CUT, policy, now)
     return actions
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -69,7 +69,7 @@
 
 def test_retries_stop_when_their_budget_is_spent() -> None:
     router = make_router(runners=4, slots=100)
-    router.tokens = 0.0
+    router.retry_tokens = 0.0
     retried = 0
     for number in range(50):
         name = f"r{number}"
