--- a/spoolcrank/__main__.py
+++ b/spoolcrank/__main__.py
@@ -1,7 +1,7 @@
 """Run the program as a module.
 
-The daemon of the platform starts without the command line's libraries: a replaced instance
-is of use only after its start, and these take half of it.
+The platform's daemon starts without the libraries of the command line: their import takes half of
+the start-up time, during which a replaced instance cannot serve.
 """
 
 import sys
@@ -14,10 +14,10 @@
 
 @contextmanager
 def without_pkg_resources() -> Iterator[None]:
-    """Import circuits without setuptools' resources.
+    """Replace `pkg_resources` by an empty module while circuits is imported.
 
-    circuits declares its namespace by them, which nothing here needs, and they take 77 of the
-    190 ms that the daemon's imports take (measured with `-X importtime`).
+    circuits uses it only to declare its namespace package, which this program does not need. Its
+    import takes 77 of the 190 ms of the daemon's imports (according to `-X importtime`).
     """
     name = "pkg_resources"
     if name in sys.modules:
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """Run the daemon for `serve`, the whole command line for anything else."""
+    """Run the daemon for `serve`, or the full command line for any other command."""
     port = metrics_port(sys.argv[1:])
     if port is not None:
         with without_pkg_resources():
--- a/spoolcrank/figures.py
+++ b/spoolcrank/figures.py
@@ -1,4 +1,4 @@
-"""Count events and time what clients wait for; tell both in the text form of Prometheus."""
+"""Collect event counts, gauges and request durations, and export them as Prometheus text."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -6,7 +6,7 @@
 from typing import Any
 
 BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-"""Upper bounds of the histograms' buckets, s: from the store's answer to a lease."""
+"""Upper bounds of the histogram buckets, seconds; from a store answer to the length of a lease."""
 
 TEXT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
@@ -21,10 +21,10 @@
         self.sum_s += seconds
 
     def buckets(self) -> Iterator[tuple[str, float]]:
-        so_far = 0
-        for bound, count in zip((*map(str, BUCKETS_S), "+Inf"), self.counts, strict=True):
-            so_far += count
-            yield bound, so_far
+        cumulative = 0
+        for upper_bound, count in zip((*map(str, BUCKETS_S), "+Inf"), self.counts, strict=True):
+            cumulative += count
+            yield upper_bound, cumulative
 
 
 class Figures:
@@ -36,25 +36,25 @@
         self._gauges: dict[str, float] = {}
 
     def count(self, event: str) -> None:
-        """Count one event; events carry the names of the log lines."""
+        """Count one event, named like the log line that reports it."""
         self._events[event] += 1
 
     def time(self, name: str, seconds: float) -> None:
-        """Take how long one thing took."""
-        held = self._times.get(name)
-        if held is None:
-            held = self._times[name] = _Histogram()
-        held.add(seconds)
+        """Record a duration in the histogram of a name."""
+        histogram = self._times.get(name)
+        if histogram is None:
+            histogram = self._times[name] = _Histogram()
+        histogram.add(seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a present value."""
+        """Set the current value of a gauge."""
         self._gauges[name] = value
 
     def text(self) -> bytes:
-        """Return everything as text.
+        """Return all metrics in the Prometheus text format.
 
-        The library is imported here, as it costs more than the rest of a start and is
-        needed only where someone asks.
+        The client library is imported here because its import takes longer than the rest of the
+        start-up, and only a scrape needs it.
         """
         from prometheus_client import CollectorRegistry, generate_latest
 
@@ -63,7 +63,7 @@
         return bytes(generate_latest(registry))
 
     def collect(self) -> Iterator[Any]:
-        """Yield the library's families; called by it."""
+        """Yield all metric families; the client library calls this for each scrape."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -71,14 +71,18 @@
         )
 
         events = CounterMetricFamily(
-            "spoolcrank_events", "Decisions and changes of belief", labels=["event"]
+            "spoolcrank_events", "Events by the name of their log line", labels=["event"]
         )
         for event, count in sorted(self._events.items()):
             events.add_metric([event], count)
         yield events
         for name, value in sorted(self._gauges.items()):
             yield GaugeMetricFamily(f"spoolcrank_{name}", name.replace("_", " "), value=value)
-        times = HistogramMetricFamily("spoolcrank_seconds", "How long things took", labels=["what"])
-        for name, held in sorted(self._times.items()):
-            times.add_metric([name], list(held.buckets()), held.sum_s)
+        times = HistogramMetricFamily(
+            "spoolcrank_seconds",
+            "Durations of client requests by method and status",
+            labels=["what"],
+        )
+        for name, histogram in sorted(self._times.items()):
+            times.add_metric([name], list(histogram.buckets()), histogram.sum_s)
         yield times
--- a/spoolcrank/logs.py
+++ b/spoolcrank/logs.py
@@ -9,7 +9,7 @@
 
 
 def write_to(path: str) -> None:
-    """Write log lines to a file, or to standard error for `-`; nothing for an empty path."""
+    """Write log lines to a file, or to standard error for `-`; an empty path disables logging."""
     global _enabled
     if not path:
         return
@@ -19,6 +19,6 @@
 
 
 def log(name: str, **fields: Any) -> None:
-    """Write one line; fields carry the ids that the line is about."""
+    """Write one line if logging is enabled; the fields hold the ids of the objects concerned."""
     if _enabled:
         eliot.log_message(message_type=name, **fields)
--- a/spoolcrank/metrics.py
+++ b/spoolcrank/metrics.py
@@ -1,4 +1,4 @@
-"""Count decisions and time them; send the same figures by statsd."""
+"""Collect counters, timings and gauges, and send them to statsd."""
 
 from collections import Counter
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class Metrics:
-    """The counters and timings of one process."""
+    """The counters, timings and gauges of one process."""
 
     def __init__(self) -> None:
         self._counters: Counter[str] = Counter()
@@ -23,7 +23,7 @@
         self._statsd: Any = None
 
     def send_to(self, address: str) -> None:
-        """Send figures to a statsd server at `IP:PORT` from now on."""
+        """Send all later metrics to the statsd server at `IP:PORT`."""
         host, _, port = address.rpartition(":")
         self._statsd = StatsClient(host, int(port), prefix=_PREFIX)
 
@@ -32,7 +32,7 @@
         self._counters[name] += amount
 
     def timing(self, name: str, seconds: float) -> None:
-        """Record how long something took."""
+        """Record a duration in the histogram of a name, and send it to statsd at once."""
         histogram = self._timings.get(name)
         if histogram is None:
             histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
@@ -42,11 +42,11 @@
             self._statsd.timing(name, seconds * 1000)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a present value."""
+        """Set the current value of a gauge."""
         self._gauges[name] = value
 
     def flush(self) -> None:
-        """Send what changed since the last flush."""
+        """Send all gauges, and the counters that changed since the last flush, to statsd."""
         if self._statsd is None:
             return
         with self._statsd.pipeline() as pipe:
@@ -58,7 +58,7 @@
         self._sent = Counter(self._counters)
 
     def snapshot(self) -> dict[str, Any]:
-        """Return everything as plain JSON values; timings in milliseconds."""
+        """Return all metrics as plain JSON values; timings are in milliseconds."""
         timings = {
             name: {
                 "count": histogram.get_total_count(),
--- a/spoolcrank/platform/__init__.py
+++ b/spoolcrank/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translate between spoolcrank and the platform of its first users.
+"""Adapter between spoolcrank and the platform of its first users.
 
-Nothing outside this folder knows the platform's names, and nothing in it decides anything.
+No module outside this package uses the platform's names, and no module in it makes scheduling
+decisions.
 """
--- a/spoolcrank/platform/clients.py
+++ b/spoolcrank/platform/clients.py
@@ -1,4 +1,4 @@
-"""Answer the platform's clients: jobs in, states and counts out, cancels."""
+"""Serve the client API: submit and cancel jobs, report their states and the waiting counts."""
 
 import string
 import time
@@ -15,16 +15,16 @@
 from spoolcrank.telemetry import Telemetry
 from spoolcrank.workflow import JobPhase, JobRecord
 
-COME_BACK_S = 1.0
-"""When a client whose job was not taken should come back, s; the header has whole seconds."""
+RETRY_AFTER_S = 1.0
+"""Value of the Retry-After header of a temporary refusal, in whole seconds."""
 
 _HEX = frozenset(string.hexdigits)
 _GONE = HttpReply(410, {}, b"")
-_LEAVING = "this instance leaves; the store was not asked"
+_LEAVING_DETAIL = "this instance is shutting down; the request was not sent to the store"
 
 
 class ClientApi:
-    """The address of one instance that clients reach."""
+    """The HTTP API that one instance offers to clients."""
 
     def __init__(
         self,
@@ -32,98 +32,104 @@
         routes: Callable[[], RouteTable | None],
         confirm: Callable[[Callable[[bool], None]], None],
         telemetry: Telemetry,
-        figures: Figures,
+        metrics: Figures,
     ) -> None:
-        self._figures = figures
+        self._metrics = metrics
         self._intake = intake
         self._routes = routes
         self._confirm = confirm
         self._telemetry = telemetry
-        self.open = OpenRequests()
+        self.open_requests = OpenRequests()
 
     def answer(self, req: HttpRequest, reply: Reply) -> None:
-        """Answer one request."""
-        asked = Asked(req, reply, time.monotonic())
-        self.open.begin(asked)
+        """Answer one request, at once or when the store has answered."""
+        open_request = Asked(req, reply, time.monotonic())
+        self.open_requests.begin(open_request)
         try:
-            self._dispatch(asked)
+            self._dispatch(open_request)
         except Exception:
-            # The server answers it with an error of ours.
-            self.open.end(asked)
+            # The web server answers the request with an internal error.
+            self.open_requests.end(open_request)
             raise
 
-    def _reply(self, asked: Asked, answer: HttpReply) -> None:
-        if not self.open.end(asked):
+    def _reply(self, open_request: Asked, answer: HttpReply) -> None:
+        if not self.open_requests.end(open_request):
             return
-        took_s = time.monotonic() - asked.came_at
-        self._figures.time(f"{asked.request.method} {answer.status}", took_s)
-        asked.reply(answer)
+        duration_s = time.monotonic() - open_request.came_at
+        self._metrics.time(f"{open_request.request.method} {answer.status}", duration_s)
+        open_request.reply(answer)
 
-    def _dispatch(self, asked: Asked) -> None:
-        req = asked.request
+    def _dispatch(self, open_request: Asked) -> None:
+        req = open_request.request
         table = self._routes()
         if table is None:
-            self._refuse(asked, ErrorKind.NOT_READY, "no configuration was read yet")
+            self._refuse(open_request, ErrorKind.NOT_READY, "no configuration has been read yet")
             return
         route = _route(table, req)
         if route is None:
-            self._look_again(asked)
+            self._refuse_unknown_route(open_request)
         else:
-            self._on_route(asked, route)
+            self._on_route(open_request, route)
 
-    def _look_again(self, asked: Asked) -> None:
-        """Say that there is no such queue once it is sure that no newer configuration has one."""
+    def _refuse_unknown_route(self, open_request: Asked) -> None:
+        """Refuse a request for an unknown queue after checking for a newer configuration."""
 
-        def confirmed(ok: bool) -> None:
+        def on_confirmed(ok: bool) -> None:
             table = self._routes()
-            route = _route(table, asked.request) if table is not None else None
+            route = _route(table, open_request.request) if table is not None else None
             if route is not None:
-                self._on_route(asked, route)
+                self._on_route(open_request, route)
                 return
             version = table.version if table is not None else 0
             kind = ErrorKind.NO_SUCH_PATH if ok else ErrorKind.LOG_UNAVAILABLE
-            doubt = "" if ok else ", which may be old"
-            self._refuse(asked, kind, f"no queue in version {version}{doubt}")
-
-        asked.waits = Waits.READ
-        self._confirm(confirmed)
-
-    def _on_route(self, asked: Asked, route: Route) -> None:
-        req = asked.request
+            caveat = "" if ok else ", which may be out of date"
+            self._refuse(
+                open_request,
+                kind,
+                f"no queue for this path in configuration version {version}{caveat}",
+            )
+
+        open_request.waits = Waits.READ
+        self._confirm(on_confirmed)
+
+    def _on_route(self, open_request: Asked, route: Route) -> None:
+        req = open_request.request
         name = req.path[len(route.prefix) :]
         if not name and req.method == "GET":
-            self._count(asked, route)
+            self._reply_waiting_count(open_request, route)
         elif not name or not _HEX.issuperset(name):
-            self._refuse(asked, ErrorKind.BAD_REQUEST, "the id must be hex digits")
+            self._refuse(
+                open_request, ErrorKind.BAD_REQUEST, "the job id must consist of hexadecimal digits"
+            )
         else:
-            self._on_job(asked, route, JobId(name))
+            self._on_job(open_request, route, JobId(name))
 
-    def _count(self, asked: Asked, route: Route) -> None:
-        def told(count: int | ErrorKind) -> None:
+    def _reply_waiting_count(self, open_request: Asked, route: Route) -> None:
+        def on_result(count: int | ErrorKind) -> None:
             if isinstance(count, ErrorKind):
-                self._no_phase(asked, count)
+                self._reply_lookup_failure(open_request, count)
             else:
-                self._reply(asked, json_reply(200, {"waiting": count}))
+                self._reply(open_request, json_reply(200, {"waiting": count}))
 
-        asked.waits = Waits.READ
-        self._intake.waiting(route.name, told)
+        open_request.waits = Waits.READ
+        self._intake.waiting(route.name, on_result)
 
-    def _on_job(self, asked: Asked, route: Route, job: JobId) -> None:
-        method = asked.request.method
+    def _on_job(self, open_request: Asked, route: Route, job: JobId) -> None:
+        method = open_request.request.method
         if method == "POST":
-            self._submit(asked, route, job)
+            self._submit(open_request, route, job)
         elif method == "GET":
-            self._state(asked, job)
+            self._reply_state(open_request, job)
         elif method == "DELETE":
-            self._cancel(asked, job)
+            self._cancel(open_request, job)
         else:
-            self._refuse(asked, ErrorKind.METHOD_NOT_ALLOWED, method)
+            self._refuse(open_request, ErrorKind.METHOD_NOT_ALLOWED, method)
 
-    def _submit(self, asked: Asked, route: Route, job: JobId) -> None:
+    def _submit(self, open_request: Asked, route: Route, job: JobId) -> None:
         try:
-            workflow = workflow_of(asked.request.body)
+            workflow = workflow_of(open_request.request.body)
         except SpoolcrankError as exc:
-            self._refuse(asked, exc.refusal.kind, exc.refusal.detail)
+            self._refuse(open_request, exc.refusal.kind, exc.refusal.detail)
             return
         record = JobRecord(
             route.name,
@@ -136,78 +142,88 @@
             int(time.time() * 1000),
         )
 
-        def kept(outcome: IntakeOutcome) -> None:
+        def on_stored(outcome: IntakeOutcome) -> None:
             if outcome is IntakeOutcome.KEPT:
                 self._telemetry.log("job-accepted", job=job, route=route.name)
-                self._reply(asked, json_reply(200, {}))
+                self._reply(open_request, json_reply(200, {}))
             else:
-                self._not_kept(asked, outcome)
+                self._refuse_not_stored(open_request, outcome)
 
-        asked.waits = Waits.APPEND
-        self._intake.submit(job, record, kept)
+        open_request.waits = Waits.APPEND
+        self._intake.submit(job, record, on_stored)
 
-    def _not_kept(self, asked: Asked, outcome: IntakeOutcome) -> None:
+    def _refuse_not_stored(self, open_request: Asked, outcome: IntakeOutcome) -> None:
         if outcome is IntakeOutcome.NOT_KEPT:
-            self._refuse(asked, ErrorKind.LOG_UNAVAILABLE, "the store took no record")
+            self._refuse(
+                open_request, ErrorKind.LOG_UNAVAILABLE, "the store did not accept the record"
+            )
         elif outcome is IntakeOutcome.LEAVING:
-            self._refuse(asked, ErrorKind.LEAVING, _LEAVING)
+            self._refuse(open_request, ErrorKind.LEAVING, _LEAVING_DETAIL)
         else:
-            self._refuse(asked, ErrorKind.LOG_ANSWER_UNKNOWN, "the store may have it")
-
-    def _state(self, asked: Asked, job: JobId) -> None:
-        def told(phase: JobPhase | ErrorKind) -> None:
+            self._refuse(
+                open_request,
+                ErrorKind.LOG_ANSWER_UNKNOWN,
+                "the store did not confirm the record, but may have stored it",
+            )
+
+    def _reply_state(self, open_request: Asked, job: JobId) -> None:
+        def on_result(phase: JobPhase | ErrorKind) -> None:
             if isinstance(phase, JobPhase):
-                self._reply(asked, json_reply(200, {"state": phase.value}))
+                self._reply(open_request, json_reply(200, {"state": phase.value}))
             else:
-                self._no_phase(asked, phase)
+                self._reply_lookup_failure(open_request, phase)
 
-        asked.waits = Waits.READ
-        self._intake.state(job, told)
+        open_request.waits = Waits.READ
+        self._intake.state(job, on_result)
 
-    def _no_phase(self, asked: Asked, kind: ErrorKind) -> None:
+    def _reply_lookup_failure(self, open_request: Asked, kind: ErrorKind) -> None:
         if kind is ErrorKind.NO_SUCH_JOB:
-            req = asked.request
+            req = open_request.request
             self._telemetry.log("job-unknown", grave=True, method=req.method, path=req.path)
-            self._reply(asked, _GONE)
+            self._reply(open_request, _GONE)
         elif kind is ErrorKind.LEAVING:
-            self._refuse(asked, kind, _LEAVING)
+            self._refuse(open_request, kind, _LEAVING_DETAIL)
         else:
-            self._refuse(asked, kind, "the store does not answer")
+            self._refuse(open_request, kind, "the store does not answer")
 
-    def _cancel(self, asked: Asked, job: JobId) -> None:
-        def told(outcome: IntakeOutcome | ErrorKind) -> None:
+    def _cancel(self, open_request: Asked, job: JobId) -> None:
+        def on_result(outcome: IntakeOutcome | ErrorKind) -> None:
             if outcome is IntakeOutcome.KEPT:
                 self._telemetry.log("cancel-accepted", job=job)
-                self._reply(asked, json_reply(200, {}))
+                self._reply(open_request, json_reply(200, {}))
             elif isinstance(outcome, IntakeOutcome):
-                self._not_kept(asked, outcome)
+                self._refuse_not_stored(open_request, outcome)
             else:
-                self._no_phase(asked, outcome)
+                self._reply_lookup_failure(open_request, outcome)
 
-        asked.waits = Waits.READ_THEN_APPEND
-        self._intake.cancel(job, told)
+        open_request.waits = Waits.READ_THEN_APPEND
+        self._intake.cancel(job, on_result)
 
     def give_up(self) -> int:
-        """Answer what still waits for the store; returns how many requests that were."""
-        waiting = self.open.oldest_first()
-        for asked in waiting:
-            if asked.waits is Waits.READ:
-                self._refuse(asked, ErrorKind.LOG_UNAVAILABLE, "the store does not answer")
+        """Refuse all requests that still wait for the store, and return their number."""
+        waiting = self.open_requests.oldest_first()
+        for open_request in waiting:
+            if open_request.waits is Waits.READ:
+                self._refuse(open_request, ErrorKind.LOG_UNAVAILABLE, "the store does not answer")
             else:
-                self._refuse(asked, ErrorKind.LOG_ANSWER_UNKNOWN, "the store may have it")
+                self._refuse(
+                    open_request,
+                    ErrorKind.LOG_ANSWER_UNKNOWN,
+                    "the store did not confirm the record, but may have stored it",
+                )
         return len(waiting)
 
-    def _refuse(self, asked: Asked, kind: ErrorKind, detail: str) -> None:
-        req = asked.request
+    def _refuse(self, open_request: Asked, kind: ErrorKind, detail: str) -> None:
+        req = open_request.request
         self._telemetry.log(
             "refused", grave=True, kind=kind.value, detail=detail, method=req.method, path=req.path
         )
-        again_s = COME_BACK_S if kind in _AGAIN else 0.0
-        self._reply(asked, refusal_reply(Refusal(kind, detail, retry_after_s=again_s)))
+        retry_after_s = RETRY_AFTER_S if kind in _RETRYABLE else 0.0
+        self._reply(open_request, refusal_reply(Refusal(kind, detail, retry_after_s=retry_after_s)))
 
 
 def _route(table: RouteTable, req: HttpRequest) -> Route | None:
     return table.match(req.headers.get("host", ""), req.path)
 
 
-_AGAIN = frozenset({ErrorKind.NOT_READY, ErrorKind.LOG_UNAVAILABLE, ErrorKind.LEAVING})
+_RETRYABLE = frozenset({ErrorKind.NOT_READY, ErrorKind.LOG_UNAVAILABLE, ErrorKind.LEAVING})
--- a/spoolcrank/platform/daemon.py
+++ b/spoolcrank/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Assemble the daemon of one instance on the platform."""
+"""Assemble and run the scheduler daemon of one instance on the platform."""
 
 import os
 import signal
@@ -33,25 +33,28 @@
 from spoolcrank.telemetry import Telemetry
 from spoolcrank.workflow import RouteName
 
-JOBS = "jobs"
-"""The log of the scheduler's own records."""
+JOBS_LOG = "jobs"
+"""Name of the log that holds the scheduler's own records."""
 
-OPERATOR = "op"
-RUNNERS = "servers"
+OPERATOR_LOG = "op"
+RUNNERS_LOG = "servers"
 _CONFIGURATION_KEY = "config"
 _EXIT_BAD_SETTINGS = 2
 _READY_PATH = "/api/readyz"
 
-OUT_OF_TOUCH_S = 1.5
-"""An instance that the store has not answered for so long calls itself not ready, s."""
+STORE_CONTACT_TIMEOUT_S = 1.5
+"""Time without a store answer after which the instance reports itself not ready, seconds."""
 
-CONFIRMED_S = 1.7
-"""That a queue does not exist is told by a configuration read so long ago at most, s: one is in
-force 2 s after it was acknowledged, by the platform's word."""
+MAX_CONFIGURATION_AGE_S = 1.7
+"""Maximum age of the configuration for answering that a queue does not exist, seconds.
+
+An older one is read again first. The platform guarantees that a configuration is in force 2 s
+after it was acknowledged.
+"""
 
 
 class PlatformDaemon:
-    """One instance: takes jobs in, and schedules when it leads."""
+    """One instance, which accepts jobs and schedules them while it is the leader."""
 
     def __init__(
         self,
@@ -65,15 +68,19 @@
         self._routes: RouteTable | None = None
         self._stopping = False
         timers, http = runtime.timers, runtime.http
-        self.figures = Figures()
+        self.metrics = Figures()
         self.telemetry = Telemetry(timers, cfg.instance_id)
-        self.telemetry.count = self.figures.count
-        self._touched_at = -OUT_OF_TOUCH_S
-        log = self._log(JOBS)
+        self.telemetry.count = self.metrics.count
+        self._contacted_at = -STORE_CONTACT_TIMEOUT_S
+        log = self._open_log(JOBS_LOG)
         self.index = JobIndex(self._on_unreadable)
-        self.follower = self._follow(log, self._on_job_news, JOBS)
-        self._configuration = self._follow(self._log(OPERATOR), self._on_operator_news, OPERATOR)
-        self._runners = self._follow(self._log(RUNNERS), self._on_runner_news, RUNNERS)
+        self.follower = self._follow(log, self._on_job_records, JOBS_LOG)
+        self._configuration = self._follow(
+            self._open_log(OPERATOR_LOG), self._on_operator_records, OPERATOR_LOG
+        )
+        self._runners = self._follow(
+            self._open_log(RUNNERS_LOG), self._on_runner_entries, RUNNERS_LOG
+        )
         self.intake = JobIntake(log, self.follower, self.index, timers, time.monotonic)
         incarnation = Incarnation(unique(cfg.instance_id))
         self.dispatcher = Dispatcher(
@@ -91,9 +98,9 @@
         self._api = ClientApi(
             self.intake,
             lambda: self._routes,
-            partial(self._configuration.confirm, CONFIRMED_S),
+            partial(self._configuration.confirm, MAX_CONFIGURATION_AGE_S),
             self.telemetry,
-            self.figures,
+            self.metrics,
         )
         self._clients = runtime.serve(cfg.clients, self._api.answer, "clients")
         self._ready = runtime.serve(cfg.ready, self._answer_ready, "ready")
@@ -104,19 +111,19 @@
             grave=True,
             incarnation=incarnation,
             clients=cfg.clients,
-            without=sorted(one.value for one in without),
+            without=sorted(mechanism.value for mechanism in without),
         )
         self._configuration.begin()
         self.follower.begin()
 
-    def _log(self, name: str) -> StoreLog:
+    def _open_log(self, name: str) -> StoreLog:
         def on_unreadable(why: str) -> None:
             self.telemetry.log("item-unreadable", grave=True, log=name, why=why)
 
         return StoreLog(self._runtime.http, self._cfg.store, name, on_unreadable)
 
     def _follow(
-        self, log: StoreLog, on_news: Callable[[list[KeyedRecord]], None], name: str
+        self, log: StoreLog, on_records: Callable[[list[KeyedRecord]], None], name: str
     ) -> LogFollower:
         def on_contact(contact: bool, detail: str) -> None:
             event = "store-regained" if contact else "store-lost"
@@ -126,16 +133,16 @@
             self.telemetry.log("internal-error", grave=True, log=name, trace=trace)
 
         timers = self._runtime.timers
-        return LogFollower(log, timers, time.monotonic, on_news, on_contact, on_error)
+        return LogFollower(log, timers, time.monotonic, on_records, on_contact, on_error)
 
-    # What was read
+    # Handlers of records that were read from the logs
 
-    def _on_job_news(self, records: list[KeyedRecord]) -> None:
+    def _on_job_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
             self.index.take(record)
         self.dispatcher.on_news(records)
 
-    def _on_operator_news(self, records: list[KeyedRecord]) -> None:
+    def _on_operator_records(self, records: list[KeyedRecord]) -> None:
         self.dispatcher.empty_zones(emptied_zones(self._configuration.copy))
         for record in records:
             if record.key != _CONFIGURATION_KEY or not record.value:
@@ -143,7 +150,7 @@
             try:
                 table = configuration_of(record.value)
             except Unreadable as exc:
-                # The last one stays in force, whole.
+                # The previous configuration stays in force, with all its routes.
                 self.telemetry.log(
                     "configuration-refused", grave=True, offset=record.offset, why=str(exc)
                 )
@@ -160,8 +167,8 @@
             return
         self._routes = table
         policies: dict[RouteName, RoutePolicy] = {
-            one.name: RoutePolicy(one.service, one.priority, one.max_attempts)
-            for one in table.routes
+            route.name: RoutePolicy(route.service, route.priority, route.max_attempts)
+            for route in table.routes
         }
         self.dispatcher.set_routes(policies)
         self.telemetry.log(
@@ -172,11 +179,11 @@
             routes=len(table.routes),
         )
 
-    def _on_runner_news(self, records: list[KeyedRecord]) -> None:
-        # Also where a page or a part held nothing that can be read: the list may be whole now.
+    def _on_runner_entries(self, records: list[KeyedRecord]) -> None:
+        # Runs even if no record could be read: with this page the list may have become complete.
         self.dispatcher.on_runner_news(self._runners.copy)
 
-    # Standing
+    # Readiness, metrics and shutdown
 
     def _answer_ready(self, req: HttpRequest, reply: Reply) -> None:
         ok = req.path == _READY_PATH and self.ready
@@ -184,26 +191,28 @@
 
     def _answer_metrics(self, req: HttpRequest, reply: Reply) -> None:
         scheduler = self.dispatcher.scheduler
-        self.figures.gauge("leads", float(scheduler is not None))
-        self.figures.gauge("log_offset", self.follower.copy.next_offset)
-        self.figures.gauge("configuration", self._routes.version if self._routes else 0)
-        self.figures.gauge("lines_left_out", self.telemetry.left_out)
-        self.figures.gauge("unanswered", self._clients.unanswered)
+        self.metrics.gauge("leads", float(scheduler is not None))
+        self.metrics.gauge("log_offset", self.follower.copy.next_offset)
+        self.metrics.gauge("configuration", self._routes.version if self._routes else 0)
+        self.metrics.gauge("lines_left_out", self.telemetry.left_out)
+        self.metrics.gauge("unanswered", self._clients.unanswered)
         if scheduler is not None:
-            self.figures.gauge("jobs", len(scheduler.jobs))
-            self.figures.gauge("runs", sum(len(one.runs) for one in scheduler.runners.values()))
-            self.figures.gauge("jobs_waiting", sum(1 for _ in scheduler.waiting_jobs()))
-            self.figures.gauge("start_window_bytes", round(scheduler.starts.limit))
-            self.figures.gauge("starts_waiting", len(scheduler.starts.waiting))
-        reply(HttpReply(200, {"Content-Type": TEXT_TYPE}, self.figures.text()))
+            self.metrics.gauge("jobs", len(scheduler.jobs))
+            self.metrics.gauge(
+                "runs", sum(len(runner.runs) for runner in scheduler.runners.values())
+            )
+            self.metrics.gauge("jobs_waiting", sum(1 for _ in scheduler.waiting_jobs()))
+            self.metrics.gauge("start_window_bytes", round(scheduler.starts.limit))
+            self.metrics.gauge("starts_waiting", len(scheduler.starts.waiting))
+        reply(HttpReply(200, {"Content-Type": TEXT_TYPE}, self.metrics.text()))
 
     @property
     def ready(self) -> bool:
-        """Tell whether clients should be sent here."""
-        touched_at = max(self.follower.copy.read_at, self._configuration.copy.read_at)
-        in_touch = time.monotonic() - touched_at <= OUT_OF_TOUCH_S
+        """Return whether the load balancer should send clients to this instance."""
+        contacted_at = max(self.follower.copy.read_at, self._configuration.copy.read_at)
+        store_answers = time.monotonic() - contacted_at <= STORE_CONTACT_TIMEOUT_S
         loaded = self.follower.copy.loaded and self._routes is not None
-        return loaded and in_touch and not self._stopping
+        return loaded and store_answers and not self._stopping
 
     def _stop(self, finish: Callable[[], None]) -> None:
         self._stopping = True
@@ -211,9 +220,9 @@
             stop_times(self._cfg.grace_s),
             self._clients,
             self.intake,
-            self._api.open,
+            self._api.open_requests,
             self._api.give_up,
-            # A claim that was on its way at the signal may be kept after it.
+            # A leadership claim in flight at the signal may still be stored after it.
             lambda: self.dispatcher.scheduler is not None,
             finish,
             self._runtime.timers,
@@ -223,7 +232,10 @@
         self.dispatcher.leave(lambda: None)
 
     def reload(self) -> None:
-        """Read the settings file again; what cannot change while running is only logged."""
+        """Read the settings file again and log whether it differs.
+
+        The listening addresses stay as they were, because they cannot change at run time.
+        """
         try:
             cfg = read_settings(os.environ[FILE_VARIABLE])
         except SettingsError as exc:
@@ -234,7 +246,10 @@
 
 
 def run(metrics_port: int) -> None:
-    """Run the daemon until it is told to stop; wrong settings end it with one line."""
+    """Run the daemon until a stop signal.
+
+    Invalid settings end the process with one line on standard error and exit code 2.
+    """
     try:
         cfg = read_settings(os.environ.get(FILE_VARIABLE, ""))
         without = switched_off()
--- a/spoolcrank/platform/documents.py
+++ b/spoolcrank/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decode what the platform and the clients write: configuration, runners' entries, jobs."""
+"""Decode the configuration, the runners' entries and the jobs that clients submit."""
 
 from ipaddress import IPv4Address
 from typing import Annotated, Literal
@@ -15,12 +15,15 @@
 from spoolcrank.workflow import Demand, RouteName, Step, Workflow
 
 MAX_ENTRY_BYTES = 16_384
-"""A runner's entry is some 400 bytes; a longer one than this is not read, bytes."""
+"""Maximum size of a runner's entry, bytes; usual entries take about 400 bytes."""
 
 MAX_PORT = 65_535
 
 MAX_AMOUNT = 1_000_000_000
-"""No runner holds so much: a million cores, in thousandths, or a petabyte, in MB."""
+"""Maximum amount of one resource: a million cores in thousandths, or a petabyte in MB.
+
+No runner has as much.
+"""
 
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
 _Born = Annotated[int, msgspec.Meta(ge=0)]
@@ -32,10 +35,10 @@
     host: str
     prefix: str = msgspec.field(name="pathPrefix")
     service: _Name
-    # For a queue this is the fixed part of the time to finish, not of the answer.
+    # For a queue, this is the fixed part of a job's completion time, not of the response time.
     objective_ms: int = msgspec.field(name="sloMs", default=0)
     priority: int = 0
-    # Failed runs of a task, not the client's attempts.
+    # Limits the failed runs of a task, not the attempts of the client.
     max_attempts: int = msgspec.field(name="maxAttempts", default=1)
     stretch: float = 1.0
 
@@ -73,14 +76,15 @@
     mem_mb: int = msgspec.field(name="memMb", default=0)
     gpu: int = 0
     estimate_ms: float = msgspec.field(name="estimateMs", default=0)
-    # Numbers of earlier steps, though the name speaks of a revision.
+    # Numbers of earlier steps, not a revision as the platform's field name suggests.
     after: tuple[int, ...] = msgspec.field(name="afterRev", default=())
     checkpoints: bool = msgspec.field(name="savesProgress", default=False)
     gang: bool = False
     same_rack: bool = msgspec.field(name="sameRack", default=False)
     label: str = msgspec.field(name="requires", default="")
     data_rack: str = msgspec.field(name="affinity", default="")
-    # At most so many tasks of the step on one runner, though the name speaks of none.
+    # Maximum number of the step's tasks on one runner, not a ban as the platform's field name
+    # suggests.
     max_per_instance: int = msgspec.field(name="antiAffinity", default=0)
     copies: bool = msgspec.field(name="speculative", default=False)
     lasting: bool = msgspec.field(name="longRunning", default=False)
@@ -98,7 +102,7 @@
     interval_ms: float = msgspec.field(name="intervalMs", default=0)
 
 
-_EMPTY_ZONE = "evacuate/"
+_EVACUATION_PREFIX = "evacuate/"
 _decode_configuration = msgspec.json.Decoder(_Configuration).decode
 _decode_server = msgspec.json.Decoder(_Server).decode
 _decode_job = msgspec.json.Decoder(_Job).decode
@@ -106,39 +110,39 @@
 
 @reader
 def configuration_of(value: bytes) -> RouteTable:
-    """Read the operator's configuration, whole; raises Unreadable."""
+    """Decode the operator's configuration; raise Unreadable if any part of it is invalid."""
     raw = _decode_configuration(value)
-    if len({one.name for one in raw.routes}) < len(raw.routes):
-        raise ValueError("routes: a name stands twice")
+    if len({route.name for route in raw.routes}) < len(raw.routes):
+        raise ValueError("routes: two routes have the same name")
     routes = tuple(
         Route(
-            RouteName(one.name),
-            one.host,
-            one.prefix,
-            ServiceName(one.service),
-            one.priority,
-            one.max_attempts,
-            one.objective_ms,
-            one.stretch,
+            RouteName(route.name),
+            route.host,
+            route.prefix,
+            ServiceName(route.service),
+            route.priority,
+            route.max_attempts,
+            route.objective_ms,
+            route.stretch,
         )
-        for one in raw.routes
+        for route in raw.routes
     )
     return RouteTable(raw.version, routes)
 
 
 def emptied_zones(copy: KeyedLog) -> frozenset[AvailabilityZone]:
-    """Return the zones that the operator wants nothing more to start in, by the newest records."""
+    """Return the zones that the operator evacuates: no new runs may start in them."""
     return frozenset(
-        AvailabilityZone(key.removeprefix(_EMPTY_ZONE))
+        AvailabilityZone(key.removeprefix(_EVACUATION_PREFIX))
         for key, record in copy.newest.items()
-        if key.startswith(_EMPTY_ZONE) and record.value
+        if key.startswith(_EVACUATION_PREFIX) and record.value
     )
 
 
 def runner_of(runner: str, value: bytes) -> RunnerEntry:
-    """Read the entry that a runner keeps of itself; raises Unreadable for any other's."""
+    """Decode a runner's entry in the list of runners; raise Unreadable if it is invalid."""
     if START_MARK in runner:
-        raise Unreadable(f"{runner!r} is no name of a runner")
+        raise Unreadable(f"{runner!r} is not a valid runner name")
     raw = _server_of(value)
     return RunnerEntry(
         runner_id(RunnerName(runner), raw.born),
@@ -154,39 +158,42 @@
 @reader
 def _server_of(value: bytes) -> _Server:
     if len(value) > MAX_ENTRY_BYTES:
-        raise ValueError(f"{len(value)} bytes are too many")
+        raise ValueError(f"{len(value)} bytes exceed the maximum size of an entry")
     raw = _decode_server(value)
     _check_address(raw.address)
     return raw
 
 
 def _check_address(address: str) -> None:
-    """Raise ValueError unless an address is `IP:PORT`: a name would be looked up, and wait."""
+    """Raise ValueError unless the address is `IP:PORT`.
+
+    A host name is refused because its DNS lookup would block.
+    """
     host, _, port = address.rpartition(":")
     IPv4Address(host)
     if not (port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT):
-        raise ValueError(f"{address!r} is no address")
+        raise ValueError(f"{address!r} has no valid port")
 
 
 def workflow_of(body: bytes) -> Workflow:
-    """Read a client's job; raises SpoolcrankError naming what is wrong."""
+    """Decode a client's job; raise SpoolcrankError with the invalid field or syntax error."""
     try:
         raw = _decode_job(body)
     except msgspec.ValidationError as exc:
         raise SpoolcrankError(Refusal(ErrorKind.BAD_FIELD, str(exc))) from exc
     except (msgspec.DecodeError, RecursionError) as exc:
         raise SpoolcrankError(Refusal(ErrorKind.BAD_JSON, str(exc))) from exc
-    flow = Workflow(
+    workflow = Workflow(
         raw.payload,
-        tuple(_step(one) for one in raw.steps),
+        tuple(_step(step) for step in raw.steps),
         raw.rounds,
         int(raw.first_at_ms),
         int(raw.interval_ms),
     )
-    problem = flow.problem()
+    problem = workflow.problem()
     if problem:
         raise SpoolcrankError(Refusal(ErrorKind.BAD_FIELD, problem))
-    return flow
+    return workflow
 
 
 def _step(raw: _Step) -> Step:
--- a/spoolcrank/platform/runners.py
+++ b/spoolcrank/platform/runners.py
@@ -1,4 +1,4 @@
-"""Give the platform's runners their orders over HTTP."""
+"""Send orders and polls to the platform's runners over HTTP."""
 
 from collections.abc import Callable, Iterable
 from typing import Annotated, Any, TypeVar
@@ -27,24 +27,28 @@
 
 Row = TypeVar("Row")
 
-ORDER_S = 0.6
-"""An order without an answer counts as unanswered after so long, s; many usual answers."""
+ORDER_TIMEOUT_S = 0.6
+"""Time that a runner has to answer an order, seconds; several times the usual answer time."""
 
-AGAIN_S = 0.3
-"""A poll that waits, without any answer over a kept connection for so long after its wait, is sent
-again over a new one, s: the runner is not taken as silent for one connection's sake, and its
-lease goes on."""
+RESEND_AFTER_S = 0.3
+"""Time after the wait of a long poll at which it is sent again over a new connection, seconds.
 
-ENDS_AT_ONCE = 500
-"""A runner lists so many ends at once; stated by the platform."""
+This applies if a reused connection has delivered no answer. A single broken connection then neither
+makes the runner count as silent nor lets its lease expire.
+"""
 
-LARGEST = 1 << 52
-"""Above any runner's clock, in ms, and any number of a run or end; up to here a float holds each
-whole number."""
+MAX_ENDED_ROWS = 500
+"""Maximum number of ended runs in one answer of a runner, as the platform documents it."""
+
+MAX_NUMBER = 1 << 52
+"""Upper limit of a runner's clock, in milliseconds, and of the numbers of runs and ends.
+
+No real value reaches it, and a float represents every integer up to it exactly.
+"""
 
 _REFUSALS = {
     "fence": OrderResult.OUTRANKED,
-    # The run, or a later one of the task, was stopped or has ended there.
+    # This run, or a later run of the same task, was stopped or has ended on the runner.
     "old": OrderResult.SUPERSEDED,
     "late": OrderResult.LATE,
     "room": OrderResult.NO_ROOM,
@@ -52,8 +56,8 @@
 }
 
 
-_Number = Annotated[int, msgspec.Meta(ge=0, le=LARGEST)]
-_Clock = Annotated[float, msgspec.Meta(ge=0, le=LARGEST)]
+_Number = Annotated[int, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+_Clock = Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 
 
 class _OrderAnswer(msgspec.Struct):
@@ -114,13 +118,13 @@
 
 
 class PlatformRunners:
-    """The runners, each named by its address and the incarnation that is meant."""
+    """Client for the runners, each addressed by its address and its expected incarnation."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     def start(self, order: Start, done: Callable[[Answered], None]) -> None:
-        """Start a run."""
+        """Order a runner to start a run; `done` receives the result."""
         body: dict[str, Any] = {
             "task": _task_name(order.task),
             "run": order.run,
@@ -133,7 +137,7 @@
         self._order(order.target, "run-start", body, done)
 
     def stop(self, order: Stop, done: Callable[[Answered], None]) -> None:
-        """Stop a run."""
+        """Order a runner to stop a run; `done` receives the result."""
         body = {
             "task": _task_name(order.task),
             "run": order.run,
@@ -142,7 +146,7 @@
         self._order(order.target, "run-stop", body, done)
 
     def pace(self, order: Pace, done: Callable[[Answered], None]) -> None:
-        """Set the speed of a run."""
+        """Set the pace of a run, as a percentage of full speed."""
         body = {
             "task": _task_name(order.task),
             "run": order.run,
@@ -152,37 +156,40 @@
         self._order(order.target, "pace", body, done)
 
     def poll(self, order: Poll, done: Callable[[Polled], None]) -> None:
-        """Ask what runs and what has ended."""
-        asks: dict[str, Any] = {"fence": order.target.fence, "lastSeen": 0}
-        body = asks | {"lastSeen": order.seen}
+        """Ask a runner for its running and ended runs; a deadline in the poll renews its lease."""
+        base_body: dict[str, Any] = {"fence": order.target.fence, "lastSeen": 0}
+        body = base_body | {"lastSeen": order.seen}
         if order.until_ms is not None:
             body["deadlineMs"] = order.until_ms
         if order.wait_ms:
             body["waitMs"] = order.wait_ms
 
-        def polled(got: HttpResult) -> None:
-            told = _polled(order.target.runner, got)
-            if told.report is not None and got.peer is not None:
-                asked, answered = order.target.runner, told.report.runner
-                got.peer.name = asked if answers_for(answered, asked) else answered
-            done(told)
+        def on_response(response: HttpResult) -> None:
+            poll_result = _poll_result(order.target.runner, response)
+            if poll_result.report is not None and response.peer is not None:
+                requested, actual = order.target.runner, poll_result.report.runner
+                response.peer.name = requested if answers_for(actual, requested) else actual
+            done(poll_result)
 
-        # Another incarnation may be there by now: it would forget ends that nobody has read, and
-        # count its lease by the clock of the one before. Over a known connection it is the same.
+        # Another incarnation may listen at the address by now. With the full body it would discard
+        # ends that nobody has read, and measure its lease by the previous incarnation's clock. A
+        # connection that is known to reach this incarnation still does, so it gets the full body.
         self._send(
             order.target,
             "hold",
             body,
-            ORDER_S + order.wait_ms / 1000.0,
-            polled,
-            AGAIN_S + order.wait_ms / 1000.0 if order.wait_ms else None,
-            _encode(asks),
+            ORDER_TIMEOUT_S + order.wait_ms / 1000.0,
+            on_response,
+            RESEND_AFTER_S + order.wait_ms / 1000.0 if order.wait_ms else None,
+            _encode(base_body),
         )
 
     def _order(
         self, target: Target, call: str, body: dict[str, Any], done: Callable[[Answered], None]
     ) -> None:
-        self._send(target, call, body, ORDER_S, lambda got: done(_answered(got)))
+        self._send(
+            target, call, body, ORDER_TIMEOUT_S, lambda response: done(_order_result(response))
+        )
 
     def _send(
         self,
@@ -198,7 +205,7 @@
             "Content-Type": "application/json",
             "Spoolcrank-Expect-Instance": name_of(target.runner),
         }
-        # Other orders leave the connections that are known to be to a runner to the polls of it.
+        # Connections known to reach a certain incarnation are reserved for its polls.
         peer = target.runner if to_others is not None else ""
         self._http.send(
             HttpCall(
@@ -216,101 +223,106 @@
         )
 
 
-def _result_of(got: HttpResult) -> OrderResult:
-    if got.failed is not None:
-        return OrderResult.UNKNOWN if got.sent else OrderResult.NOT_DONE
-    if got.status == 200:
+def _result_of(response: HttpResult) -> OrderResult:
+    if response.failed is not None:
+        return OrderResult.UNKNOWN if response.sent else OrderResult.NOT_DONE
+    if response.status == 200:
         return OrderResult.DONE
-    if got.status == 421:
+    if response.status == 421:
         return OrderResult.OTHER_INCARNATION
-    if got.status in (429, 503):
+    if response.status in (429, 503):
         return OrderResult.UNHEALTHY
-    if got.status == 409:
-        return _REFUSALS.get(_order_answer(got).reason, OrderResult.REJECTED)
+    if response.status == 409:
+        return _REFUSALS.get(_order_answer(response).reason, OrderResult.REJECTED)
     return OrderResult.REJECTED
 
 
-def _order_answer(got: HttpResult) -> _OrderAnswer:
-    """Read an answer's body; one that cannot be read says no more than its status."""
+def _order_answer(response: HttpResult) -> _OrderAnswer:
+    """Decode the body of an answer; an unreadable one counts as empty, so the status decides."""
     try:
-        return _decode_order(got.body)
+        return _decode_order(response.body)
     except Unreadable:
         return _OrderAnswer()
 
 
-def _answered(got: HttpResult) -> Answered:
-    result = _result_of(got)
-    if result is OrderResult.DONE and got.body:
-        return Answered(result, _order_answer(got).clock)
+def _order_result(response: HttpResult) -> Answered:
+    result = _result_of(response)
+    if result is OrderResult.DONE and response.body:
+        return Answered(result, _order_answer(response).clock)
     return Answered(result)
 
 
-def _polled(asked: RunnerId, got: HttpResult) -> Polled:
-    result = _result_of(got)
+def _poll_result(requested: RunnerId, response: HttpResult) -> Polled:
+    result = _result_of(response)
     if result is not OrderResult.DONE:
         return Polled(result)
     try:
-        return Polled(result, _report(asked, got.body))
+        return Polled(result, _decode_report(requested, response.body))
     except Unreadable:
         pass
     try:
-        return Polled(result, _report_by_rows(asked, got.body))
+        return Polled(result, _decode_report_by_rows(requested, response.body))
     except Unreadable:
-        # Nothing is known of its runs: as good as no answer.
+        # The answer says nothing about the runner's runs, so it counts as no answer.
         return Polled(OrderResult.UNKNOWN)
 
 
 @reader
-def _report(asked: RunnerId, body: bytes) -> Report:
+def _decode_report(requested: RunnerId, body: bytes) -> Report:
     answer = _decode_hold(body)
-    running = tuple(map(_running, answer.running))
-    ended = tuple(map(_ended, answer.ended))
-    whole = len(ended) < ENDS_AT_ONCE
-    return Report(_answerer(asked, answer.born), answer.clock, running, ended, whole)
+    running = tuple(map(_to_running_row, answer.running))
+    ended = tuple(map(_to_ended_row, answer.ended))
+    complete = len(ended) < MAX_ENDED_ROWS
+    return Report(_answering_runner(requested, answer.born), answer.clock, running, ended, complete)
 
 
-def _report_by_rows(asked: RunnerId, body: bytes) -> Report:
-    """Read a report of which some row cannot be read: it is left out, the others hold."""
+def _decode_report_by_rows(requested: RunnerId, body: bytes) -> Report:
+    """Decode a report row by row, leaving out and counting the rows that cannot be read."""
     answer = _decode_hold_rows(body)
-    running, no_runs = _rows(_running_of, answer.running)
-    ended, no_ends = _rows(_ended_of, answer.ended)
-    unread = len(no_runs) + len(no_ends)
-    whole = len(answer.ended) < ENDS_AT_ONCE
-    runner = _answerer(asked, answer.born)
-    return Report(runner, answer.clock, running, ended, whole, unread, _numbers(no_ends))
+    running, unreadable_runs = _decode_rows(_decode_running_row, answer.running)
+    ended, unreadable_ends = _decode_rows(_decode_ended_row, answer.ended)
+    unreadable = len(unreadable_runs) + len(unreadable_ends)
+    complete = len(answer.ended) < MAX_ENDED_ROWS
+    runner = _answering_runner(requested, answer.born)
+    return Report(
+        runner, answer.clock, running, ended, complete, unreadable, _decode_numbers(unreadable_ends)
+    )
+
 
+def _answering_runner(requested: RunnerId, born: int | None) -> RunnerId:
+    """Return the incarnation that answered.
 
-def _answerer(asked: RunnerId, born: int | None) -> RunnerId:
-    """Return which incarnation answered; its name was asked for, as others refuse."""
-    return runner_id(name_of(asked), born)
+    Its name is the requested one, because a runner of another name refuses the request.
+    """
+    return runner_id(name_of(requested), born)
 
 
-def _rows(
-    read: Callable[[bytes], Row], raws: Iterable[msgspec.Raw | bytes]
+def _decode_rows(
+    decode: Callable[[bytes], Row], raw_rows: Iterable[msgspec.Raw | bytes]
 ) -> tuple[tuple[Row, ...], list[bytes]]:
-    """Read each row by itself; returns those that can be read, and the others as they came."""
+    """Decode each row separately; return the decoded rows and the raw bytes of the others."""
     rows: list[Row] = []
-    unread: list[bytes] = []
-    for raw in map(bytes, raws):
+    unreadable: list[bytes] = []
+    for raw in map(bytes, raw_rows):
         try:
-            rows.append(read(raw))
+            rows.append(decode(raw))
         except Unreadable:
-            unread.append(raw)
-    return tuple(rows), unread
+            unreadable.append(raw)
+    return tuple(rows), unreadable
 
 
-def _running(row: _Running) -> RunningRow:
+def _to_running_row(row: _Running) -> RunningRow:
     return RunningRow(_task_key(row.task), row.run, row.saved, int(row.percent), row.figure or 0.0)
 
 
-def _ended(row: _Ended) -> EndedRow:
+def _to_ended_row(row: _Ended) -> EndedRow:
     return EndedRow(row.number, _task_key(row.task), row.run, row.how, row.saved)
 
 
-_running_of = reader(lambda raw: _running(_decode_running(raw)))
-_ended_of = reader(lambda raw: _ended(_decode_ended(raw)))
+_decode_running_row = reader(lambda raw: _to_running_row(_decode_running(raw)))
+_decode_ended_row = reader(lambda raw: _to_ended_row(_decode_ended(raw)))
 
 
-def _numbers(raws: list[bytes]) -> tuple[int, ...]:
-    rows, _ = _rows(_decode_number, raws)
+def _decode_numbers(raw_rows: list[bytes]) -> tuple[int, ...]:
+    rows, _ = _decode_rows(_decode_number, raw_rows)
     return tuple(row.number for row in rows)
--- a/spoolcrank/platform/settings.py
+++ b/spoolcrank/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decode the settings file that the platform places for each process."""
+"""Decode the settings file that the platform provides for each process."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -22,12 +22,12 @@
 
 class _Bounds(msgspec.Struct):
     grace_s: float = msgspec.field(name="graceS", default=6.0)
-    # The longest lease that runners keep, not how long anything is held back.
+    # The longest lease that runners accept, not a delay as the platform's field name suggests.
     longest_lease_ms: int = msgspec.field(name="holdMaxMs", default=10_000)
 
 
 class _Limits(msgspec.Struct):
-    # A share of one core that runs `cores` times as fast, not of several.
+    # A share of one core that is `cores` times as fast as the usual one, not of several cores.
     share: float = msgspec.field(name="cpuShare", default=1.0)
     cores: float = 1.0
 
@@ -43,18 +43,18 @@
 
 
 class PlatformSettings(NamedTuple):
-    """What one instance is told at its start.
+    """The settings of one instance.
 
     Attributes:
-        instance_id: its name.
-        ip: its address.
-        availability_zone: where it stands.
-        clients: where clients reach it.
-        ready: where the balancer asks whether it takes requests.
-        store: the store's address.
-        grace_s: from the signal to stop until it is killed, seconds.
-        processors: of the instance, in cores of the fleet's usual speed.
-        longest_lease_ms: runners cut longer leases to that.
+        instance_id: name of the instance.
+        ip: IP address of the instance.
+        availability_zone: availability zone in which the instance runs.
+        clients: address on which it serves clients.
+        ready: address on which it answers the load balancer's readiness checks.
+        store: address of the store.
+        grace_s: time from the stop signal until the platform kills the process, seconds.
+        processors: processor share of the instance, in cores of the fleet's usual speed.
+        longest_lease_ms: runners shorten longer leases to this, milliseconds.
     """
 
     instance_id: InstanceId
@@ -72,7 +72,7 @@
 
 
 def read_settings(path: str) -> PlatformSettings:
-    """Read the file; raises SettingsError naming the field that is wrong or missing."""
+    """Read the settings file; raise SettingsError with the invalid or missing field."""
     try:
         raw = _decode(Path(path).read_bytes())
     except (OSError, msgspec.DecodeError) as exc:
--- a/spoolcrank/platform/store.py
+++ b/spoolcrank/platform/store.py
@@ -1,4 +1,4 @@
-"""Reach one keyed log of the platform's store over HTTP."""
+"""Read and append to a keyed log of the platform's store over HTTP."""
 
 import struct
 import time
@@ -22,18 +22,21 @@
     Records,
 )
 
-KEYED = "keyed."
-"""Topics whose names begin so keep the newest record of each key for good."""
+KEYED_TOPIC_PREFIX = "keyed."
+"""Prefix of topics in which the store retains the newest record of each key indefinitely."""
 
-AGAIN_S = 0.3
-"""A read, or an append of the leader, without any answer over a kept connection for so long is
-sent again over a new one, s. Nothing is done twice by it: the store gives a repeated sequence its
-first answer. It is above the answers of a slow store that were seen (0.24) and lets the leader be
-heard again within the 1.3 s after which others claim."""
+RESEND_AFTER_S = 0.3
+"""Time after which a read or a leader's append is sent again over a new connection, seconds.
+
+This applies if a reused connection has delivered nothing. It is safe because the store answers a
+repeated sequence number with its first answer. The value is above the answer time of a slow store
+(0.24 s), and low enough for a heartbeat of the leader to arrive within the 1.3 s after which other
+instances claim the leadership.
+"""
 
 _PRODUCER = "leader"
-_LENGTH = struct.Struct(">I")
-_SPAN = struct.Struct(">QQ")
+_FRAME_LENGTH = struct.Struct(">I")
+_READ_HEADER = struct.Struct(">QQ")
 _NO_HEADERS: dict[str, str] = {}
 
 
@@ -50,7 +53,7 @@
 
 
 class _NewestAnswer(msgspec.Struct):
-    # Each by itself: one that another writer made unreadable must not lose the page.
+    # Items are decoded one by one: an unreadable item of another writer must not lose the page.
     items: list[msgspec.Raw] = []
     more: bool = False
     end: int = 0
@@ -61,19 +64,19 @@
 _decode_item = reader(msgspec.json.Decoder(_Item).decode)
 
 
-def _pass_over(why: str) -> None:
-    """Leave an item out where nobody asks to be told."""
+def _ignore_unreadable(why: str) -> None:
+    """Ignore an unreadable item; the default for `on_unreadable`."""
 
 
 class StoreLog:
-    """One keyed topic of the store, whose only partition is 0.
+    """One keyed topic of the store, which has the single partition 0.
 
     Args:
-        http: sends the calls.
-        address: of the store.
-        name: of the topic, without what makes it a keyed one.
-        on_unreadable: told why an item of a page is left out.
-        clock: monotonic seconds.
+        http: client that sends the calls.
+        address: address of the store.
+        name: name of the topic, without the prefix of keyed topics.
+        on_unreadable: called with the reason when an item of a page is left out.
+        clock: monotonic clock, in seconds.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         http: HttpClient,
         address: Address,
         name: str,
-        on_unreadable: Callable[[str], None] = _pass_over,
+        on_unreadable: Callable[[str], None] = _ignore_unreadable,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._clock = clock
@@ -89,10 +92,10 @@
         self._on_unreadable = on_unreadable
         self._http = http
         self._address = address
-        self._topic = {"topic": KEYED + name, "part": "0"}
+        self._topic = {"topic": KEYED_TOPIC_PREFIX + name, "part": "0"}
 
     def append(self, append: Append, done: Callable[[Appended], None]) -> None:
-        """Append records under their conditions."""
+        """Append records if the expected offset and the fence, where given, still hold."""
         query = dict(self._topic)
         if append.at is not None:
             query["at"] = str(append.at)
@@ -100,15 +103,17 @@
             query["producer"] = _PRODUCER
             query["epoch"] = str(append.fence.term)
             query["callSeq"] = str(append.fence.sequence)
-        body = b"".join(_frame(record) for record in append.records)
-        self._send("POST", "log-append", query, body, 0, lambda got: done(_appended(got)))
+        body = b"".join(_encode_frame(record) for record in append.records)
+        self._send(
+            "POST", "log-append", query, body, 0, lambda response: done(_append_result(response))
+        )
 
     def read(self, from_offset: int, wait_ms: int, done: Callable[[Records], None]) -> None:
-        """Read from an offset on; waits for a first record."""
+        """Read records from an offset on, waiting up to `wait_ms` for the first one."""
         asked_at = self._clock()
 
-        def answered(got: HttpResult) -> None:
-            records = _records(got, from_offset)
+        def on_response(response: HttpResult) -> None:
+            records = _decode_records(response, from_offset)
             if records.outcome is ReadOutcome.FAILED:
                 self._window.failed()
             elif records.end > from_offset + len(records.records):
@@ -116,41 +121,51 @@
             if records.records or records.end <= from_offset:
                 done(records)
             else:
-                # One record alone is larger than the read.
-                self._ask(from_offset, MOST_KB, 0, lambda got: done(_records(got, from_offset)))
-
-        self._ask(from_offset, self._window.kb, wait_ms, answered)
-
-    def _ask(
-        self, from_offset: int, most_kb: int, wait_ms: int, done: Callable[[HttpResult], None]
+                # The next record alone exceeds the read size, so ask for the maximum.
+                self._request_records(
+                    from_offset,
+                    MOST_KB,
+                    0,
+                    lambda response: done(_decode_records(response, from_offset)),
+                )
+
+        self._request_records(from_offset, self._window.kb, wait_ms, on_response)
+
+    def _request_records(
+        self, from_offset: int, max_kb: int, wait_ms: int, done: Callable[[HttpResult], None]
     ) -> None:
-        query = {**self._topic, "fromRev": str(from_offset), "max_kb": str(most_kb)}
+        query = {**self._topic, "fromRev": str(from_offset), "max_kb": str(max_kb)}
         if wait_ms:
             query["waitMs"] = str(wait_ms)
         self._send("GET", "log-read", query, b"", wait_ms, done)
 
     def newest(self, after_key: str, done: Callable[[NewestPage], None]) -> None:
-        """List the newest record of each key."""
+        """Read one page of the newest record of each key, after `after_key`."""
         query = dict(self._topic)
         if after_key:
             query["afterRev"] = after_key
-        self._send("GET", "log-newest", query, b"", 0, lambda got: done(self._page(got)))
+        self._send(
+            "GET", "log-newest", query, b"", 0, lambda response: done(self._newest_page(response))
+        )
 
-    def _page(self, got: HttpResult) -> NewestPage:
-        if got.failed is not None:
-            return NewestPage(False, detail=got.failed.value)
-        if got.status != 200:
-            return NewestPage(False, detail=f"{got.status} {got.body[:200]!r}")
+    def _newest_page(self, response: HttpResult) -> NewestPage:
+        if response.failed is not None:
+            return NewestPage(False, detail=response.failed.value)
+        if response.status != 200:
+            return NewestPage(False, detail=f"{response.status} {response.body[:200]!r}")
         try:
-            answer = _decode_newest(got.body)
+            answer = _decode_newest(response.body)
         except Unreadable as exc:
             return NewestPage(False, detail=str(exc))
-        records = tuple(self._readable(answer.items))
+        records = tuple(self._readable_records(answer.items))
         if answer.more and not records:
-            return NewestPage(False, detail="no key to go on from")
+            return NewestPage(
+                False,
+                detail="the page announces more items but holds no readable key to continue after",
+            )
         return NewestPage(True, records, answer.more, answer.end)
 
-    def _readable(self, items: list[msgspec.Raw]) -> Iterator[KeyedRecord]:
+    def _readable_records(self, items: list[msgspec.Raw]) -> Iterator[KeyedRecord]:
         for raw in items:
             try:
                 item = _decode_item(bytes(raw))
@@ -170,69 +185,83 @@
     ) -> None:
         path = f"/api/{call}?{urlencode(query)}"
         timeout_s = CALL_S + wait_ms / 1000.0
-        # An instance that gave up a large answer on its way would begin it again for ever.
+        # A read is timed by its pauses, not as a whole: an instance that gave up a large answer
+        # midway would request it again forever.
         quiet_s = CALL_S if method == "GET" else None
-        again_s = AGAIN_S + wait_ms / 1000.0 if method == "GET" or "producer" in query else None
+        again_s = (
+            RESEND_AFTER_S + wait_ms / 1000.0 if method == "GET" or "producer" in query else None
+        )
         self._http.send(
             HttpCall(self._address, method, path, _NO_HEADERS, body, timeout_s, quiet_s, again_s),
             done,
         )
 
 
-def _frame(record: KeyedRecord) -> bytes:
+def _encode_frame(record: KeyedRecord) -> bytes:
     key = record.key.encode()
-    return _LENGTH.pack(1 + len(key) + len(record.value)) + bytes([len(key)]) + key + record.value
+    return (
+        _FRAME_LENGTH.pack(1 + len(key) + len(record.value))
+        + bytes([len(key)])
+        + key
+        + record.value
+    )
 
 
-def _unframe(body: bytes, first: int) -> tuple[KeyedRecord, ...]:
+def _decode_frames(body: bytes, first_offset: int) -> tuple[KeyedRecord, ...]:
     records: list[KeyedRecord] = []
-    at = 0
-    while at + _LENGTH.size <= len(body):
-        (length,) = _LENGTH.unpack_from(body, at)
-        at += _LENGTH.size
-        whole = body[at : at + length]
-        if len(whole) < length:
+    position = 0
+    while position + _FRAME_LENGTH.size <= len(body):
+        (length,) = _FRAME_LENGTH.unpack_from(body, position)
+        position += _FRAME_LENGTH.size
+        frame = body[position : position + length]
+        if len(frame) < length:
             break
-        at += length
-        records.append(_record(whole, first + len(records)))
+        position += length
+        records.append(_decode_record(frame, first_offset + len(records)))
     return tuple(records)
 
 
-def _record(whole: bytes, offset: int) -> KeyedRecord:
-    """Read one record; one whose key is cut or no text keeps its offset, under no key of ours."""
-    key_end = 1 + whole[0] if whole else 1
-    if key_end > len(whole):
+def _decode_record(frame: bytes, offset: int) -> KeyedRecord:
+    """Decode one record.
+
+    A record with a truncated or non-UTF-8 key keeps its offset, under a key that this program
+    does not use.
+    """
+    key_end = 1 + frame[0] if frame else 1
+    if key_end > len(frame):
         return KeyedRecord("", b"", offset)
-    return KeyedRecord(whole[1:key_end].decode(errors="backslashreplace"), whole[key_end:], offset)
+    return KeyedRecord(frame[1:key_end].decode(errors="backslashreplace"), frame[key_end:], offset)
 
 
 _APPEND_REFUSALS = {"fenced": AppendOutcome.FENCED, "seq": AppendOutcome.OUT_OF_ORDER}
 
 
-def _appended(got: HttpResult) -> Appended:
-    if got.failed is not None:
-        outcome = AppendOutcome.UNKNOWN if got.sent else AppendOutcome.NOT_KEPT
-        return Appended(outcome, detail=got.failed.value)
-    if got.status == 412:
+def _append_result(response: HttpResult) -> Appended:
+    if response.failed is not None:
+        outcome = AppendOutcome.UNKNOWN if response.sent else AppendOutcome.NOT_KEPT
+        return Appended(outcome, detail=response.failed.value)
+    if response.status == 412:
         return Appended(AppendOutcome.MOVED, detail="412")
-    detail = f"{got.status} {got.body[:200]!r}"
-    if got.status not in (200, 409):
+    detail = f"{response.status} {response.body[:200]!r}"
+    if response.status not in (200, 409):
         return Appended(AppendOutcome.NOT_KEPT, detail=detail)
     try:
-        answer = _decode_append(got.body)
+        answer = _decode_append(response.body)
     except Unreadable:
         return Appended(AppendOutcome.UNKNOWN, detail=detail)
-    if got.status == 200:
+    if response.status == 200:
         return Appended(AppendOutcome.KEPT, answer.offset)
     return Appended(_APPEND_REFUSALS.get(answer.reason, AppendOutcome.UNKNOWN), detail=detail)
 
 
-def _records(got: HttpResult, from_offset: int) -> Records:
-    if got.failed is not None:
-        return Records(ReadOutcome.FAILED, detail=got.failed.value)
-    if got.status == 410:
+def _decode_records(response: HttpResult, from_offset: int) -> Records:
+    if response.failed is not None:
+        return Records(ReadOutcome.FAILED, detail=response.failed.value)
+    if response.status == 410:
         return Records(ReadOutcome.EXPIRED)
-    if got.status != 200 or len(got.body) < _SPAN.size:
-        return Records(ReadOutcome.FAILED, detail=f"{got.status} {got.body[:200]!r}")
-    end, _first = _SPAN.unpack_from(got.body)
-    return Records(ReadOutcome.OK, _unframe(got.body[_SPAN.size :], from_offset), end)
+    if response.status != 200 or len(response.body) < _READ_HEADER.size:
+        return Records(ReadOutcome.FAILED, detail=f"{response.status} {response.body[:200]!r}")
+    end, _first = _READ_HEADER.unpack_from(response.body)
+    return Records(
+        ReadOutcome.OK, _decode_frames(response.body[_READ_HEADER.size :], from_offset), end
+    )
--- a/spoolcrank/serve_words.py
+++ b/spoolcrank/serve_words.py
@@ -1,15 +1,15 @@
-"""Read the words that start the platform's daemon, without the command line's libraries."""
+"""Parse the arguments that start the platform's daemon, without the command line's libraries."""
 
 SERVE = "serve"
 METRICS_FLAG = "--metrics-port"
 METRICS_PORT = 9464
-"""Where the daemon tells its figures unless the flag says otherwise."""
+"""Default port on which the daemon serves its metrics."""
 
 
-def metrics_port(words: list[str]) -> int | None:
-    """Return the port that the words after the program ask for; None for any other command."""
-    if words == [SERVE]:
+def metrics_port(args: list[str]) -> int | None:
+    """Return the metrics port of a `serve` command line; None for any other command."""
+    if args == [SERVE]:
         return METRICS_PORT
-    if len(words) == 3 and words[:2] == [SERVE, METRICS_FLAG] and words[2].isdigit():
-        return int(words[2])
+    if len(args) == 3 and args[:2] == [SERVE, METRICS_FLAG] and args[2].isdigit():
+        return int(args[2])
     return None
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,7 +29,7 @@
 from spoolcrank.runner_listing import list_runners
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.store_port import Append, AppendOutcome, ReadOutcome, WriterFence
-from spoolcrank.telemetry import HELD_BYTES, Telemetry
+from spoolcrank.telemetry import MAX_PENDING_BYTES, Telemetry
 from spoolcrank.workflow import Demand, RunnerId, TaskKey
 
 ROOT = Path(__file__).parent.parent
@@ -353,13 +353,13 @@
             telemetry.log("decided", grave=True, number=number, text="x" * 400)
             telemetry.flush()
         assert telemetry.left_out > 0
-        assert telemetry._held_bytes <= HELD_BYTES
+        assert telemetry._pending_bytes <= MAX_PENDING_BYTES
         first = os.read(reader, 1 << 16).splitlines()[0]
         assert json.loads(first)["message_type"] == "decided"
     finally:
         import eliot
 
-        eliot.remove_destination(telemetry._take)
+        eliot.remove_destination(telemetry._add_line)
         os.close(reader)
         os.close(writer)
 
--- a/tests/test_stop_times.py
+++ b/tests/test_stop_times.py
@@ -256,7 +256,7 @@
     }
     one.loop.run(200.0)
     assert len(got) == 3
-    assert len(api.open) == 0
+    assert len(api.open_requests) == 0
 
 
 def test_a_claim_on_its_way_when_the_stop_begins_is_given_up_before_intake_ends() -> None:
