--- a/spoolcrank/decisions.py
+++ b/spoolcrank/decisions.py
@@ -1,15 +1,15 @@
-"""Keep past decisions about requests, so that they can be explained."""
+"""Store recent decisions about requests, so that `why` can explain them."""
 
 from collections import deque
 from typing import NamedTuple
 
 from spoolcrank.ids import RequestId
 
-_KEEP_DECISIONS = 2000
+_MAX_DECISIONS = 2000
 
 
 class Decision(NamedTuple):
-    """A past decision about a request, kept for `why`."""
+    """A past decision about a request, as `why` shows it."""
 
     request: RequestId
     kind: str
@@ -19,15 +19,15 @@
 
 
 class Decisions:
-    """Keep the last decisions about requests."""
+    """The most recent decisions about requests, limited in number."""
 
     def __init__(self) -> None:
-        self._kept: deque[Decision] = deque(maxlen=_KEEP_DECISIONS)
+        self._recent: deque[Decision] = deque(maxlen=_MAX_DECISIONS)
 
     def keep(self, decision: Decision) -> None:
-        """Remember one decision, forgetting the oldest."""
-        self._kept.append(decision)
+        """Store a decision; the oldest one is dropped when the history is full."""
+        self._recent.append(decision)
 
     def find(self, request: str) -> Decision | None:
-        """Return the decision about a request, None when it is not held."""
-        return next((one for one in reversed(self._kept) if one.request == request), None)
+        """Return the latest decision about a request, or None if none is stored."""
+        return next((entry for entry in reversed(self._recent) if entry.request == request), None)
--- a/spoolcrank/errors.py
+++ b/spoolcrank/errors.py
@@ -1,11 +1,11 @@
-"""Keep the closed list of error kinds and the answer that each one gets."""
+"""Define all error kinds and how each one is answered."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
 class Outcome(Enum):
-    """What is known about a request that got an error of ours."""
+    """Whether a request that was answered with an error has run."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(Enum):
-    """Every kind of error that a caller or an operator can be told of."""
+    """All kinds of errors that callers and operators can receive."""
 
     BAD_REQUEST = "bad-request"
     BAD_JSON = "bad-json"
@@ -47,11 +47,11 @@
 
 
 class Answer(NamedTuple):
-    """How an error kind is answered.
+    """The answer to a request that fails with a given error kind.
 
     Attributes:
         status: HTTP status.
-        outcome: what is known about the request.
+        outcome: whether the request has run, as far as is known.
         retry: whether the caller may send the same request again.
     """
 
@@ -61,53 +61,53 @@
 
     @property
     def header(self) -> str:
-        """Return the value of the outcome header."""
+        """Return the value of the Spoolcrank-Outcome header."""
         return self.outcome.value
 
 
-_NO = Outcome.NOT_RUN
+_NOT_RUN = Outcome.NOT_RUN
 
 ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, _NO, False),
-    ErrorKind.BAD_JSON: Answer(400, _NO, False),
-    ErrorKind.BAD_FIELD: Answer(422, _NO, False),
-    ErrorKind.BAD_COMMAND: Answer(400, _NO, False),
-    ErrorKind.BAD_CONFIG: Answer(422, _NO, False),
-    ErrorKind.BAD_SETTINGS: Answer(400, _NO, False),
-    ErrorKind.TOO_LARGE: Answer(413, _NO, False),
-    ErrorKind.NO_SUCH_PATH: Answer(404, _NO, False),
-    ErrorKind.NO_SUCH_SERVICE: Answer(404, _NO, False),
-    ErrorKind.NO_SUCH_JOB: Answer(404, _NO, False),
-    ErrorKind.NO_SUCH_INSTANCE: Answer(404, _NO, False),
-    ErrorKind.METHOD_NOT_ALLOWED: Answer(405, _NO, False),
-    ErrorKind.STALE_VERSION: Answer(409, _NO, False),
-    ErrorKind.OVERLOADED: Answer(503, _NO, True),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(504, _NO, True),
-    ErrorKind.NO_RUNNER: Answer(503, _NO, True),
+    ErrorKind.BAD_REQUEST: Answer(400, _NOT_RUN, False),
+    ErrorKind.BAD_JSON: Answer(400, _NOT_RUN, False),
+    ErrorKind.BAD_FIELD: Answer(422, _NOT_RUN, False),
+    ErrorKind.BAD_COMMAND: Answer(400, _NOT_RUN, False),
+    ErrorKind.BAD_CONFIG: Answer(422, _NOT_RUN, False),
+    ErrorKind.BAD_SETTINGS: Answer(400, _NOT_RUN, False),
+    ErrorKind.TOO_LARGE: Answer(413, _NOT_RUN, False),
+    ErrorKind.NO_SUCH_PATH: Answer(404, _NOT_RUN, False),
+    ErrorKind.NO_SUCH_SERVICE: Answer(404, _NOT_RUN, False),
+    ErrorKind.NO_SUCH_JOB: Answer(404, _NOT_RUN, False),
+    ErrorKind.NO_SUCH_INSTANCE: Answer(404, _NOT_RUN, False),
+    ErrorKind.METHOD_NOT_ALLOWED: Answer(405, _NOT_RUN, False),
+    ErrorKind.STALE_VERSION: Answer(409, _NOT_RUN, False),
+    ErrorKind.OVERLOADED: Answer(503, _NOT_RUN, True),
+    ErrorKind.DEADLINE_EXCEEDED: Answer(504, _NOT_RUN, True),
+    ErrorKind.NO_RUNNER: Answer(503, _NOT_RUN, True),
     ErrorKind.RUNNER_LOST: Answer(502, Outcome.UNKNOWN, False),
     ErrorKind.RUNNER_SILENT: Answer(504, Outcome.UNKNOWN, False),
     ErrorKind.FOREIGN_ANSWER: Answer(502, Outcome.UNKNOWN, False),
     ErrorKind.PEER_LOST: Answer(502, Outcome.UNKNOWN, False),
-    ErrorKind.PEER_STATE: Answer(503, _NO, True),
+    ErrorKind.PEER_STATE: Answer(503, _NOT_RUN, True),
     ErrorKind.KEY_IN_PROGRESS: Answer(409, Outcome.UNKNOWN, True),
     ErrorKind.KEY_OUTCOME_UNKNOWN: Answer(409, Outcome.UNKNOWN, False),
     ErrorKind.KEY_ANSWER_DROPPED: Answer(409, Outcome.RAN, False),
-    ErrorKind.LOG_UNAVAILABLE: Answer(503, _NO, True),
+    ErrorKind.LOG_UNAVAILABLE: Answer(503, _NOT_RUN, True),
     ErrorKind.LOG_ANSWER_UNKNOWN: Answer(504, Outcome.UNKNOWN, True),
-    ErrorKind.NOT_READY: Answer(503, _NO, True),
-    ErrorKind.LEAVING: Answer(503, _NO, True),
+    ErrorKind.NOT_READY: Answer(503, _NOT_RUN, True),
+    ErrorKind.LEAVING: Answer(503, _NOT_RUN, True),
     ErrorKind.INTERNAL: Answer(500, Outcome.UNKNOWN, False),
 }
 
 
 class Refusal(NamedTuple):
-    """One error as it is told to whoever asked.
+    """An error as it is reported to the caller or operator.
 
     Attributes:
-        kind: the kind, which decides status and outcome.
-        detail: one sentence for a person.
-        field: the name of the offending field, empty where there is none.
-        retry_after_s: when to come back, in seconds; 0 says nothing about it.
+        kind: the error kind, which determines status and outcome.
+        detail: a human-readable explanation.
+        field: the name of the invalid field; empty if there is none.
+        retry_after_s: time to wait before a retry, in seconds; 0 gives no advice.
     """
 
     kind: ErrorKind
@@ -125,8 +125,8 @@
 
 
 class SettingsError(SpoolcrankError):
-    """Raised at start when settings are wrong."""
+    """Raised at start-up if settings are invalid."""
 
 
 class WireError(SpoolcrankError):
-    """Raised when a frame of a peer cannot be read."""
+    """Raised if a frame from a peer cannot be decoded."""
--- a/spoolcrank/explain.py
+++ b/spoolcrank/explain.py
@@ -1,4 +1,4 @@
-"""Put into words why work is where it is."""
+"""Explain the state of tasks, jobs and requests to operators."""
 
 import time
 from typing import Any, NamedTuple
@@ -16,39 +16,39 @@
 
 Row = dict[str, Any]
 
-_NEAREST = 3
-_NOBODY: tuple[InstanceId, ServerStatus | None] = (InstanceId(""), None)
-
-SENTENCES: dict[Obstacle, str] = {
-    Obstacle.NO_ROOM: "no server has room for it now",
-    Obstacle.QUOTA: "its team's quota is used up",
-    Obstacle.BACKOFF: "it waits before its next attempt, as it failed or was refused",
-    Obstacle.OTHER_OWNER_FIRST: "another owner may take it first",
-    Obstacle.INTERFERENCE: "its class slows the services of every server with room",
-    Obstacle.RESERVED: "the room is kept for a task that has waited longer",
-    Obstacle.NO_SERVER: "no server takes work now",
+_MAX_NEAREST = 3
+_NO_OWNER: tuple[InstanceId, ServerStatus | None] = (InstanceId(""), None)
+
+OBSTACLE_REASONS: dict[Obstacle, str] = {
+    Obstacle.NO_ROOM: "no server has enough free capacity for it now",
+    Obstacle.QUOTA: "its team's quota is exhausted",
+    Obstacle.BACKOFF: "it is in backoff after a failed or refused attempt",
+    Obstacle.OTHER_OWNER_FIRST: "another owner may place it first",
+    Obstacle.INTERFERENCE: "its class slows the services of every server with enough free capacity",
+    Obstacle.RESERVED: "the free capacity is reserved for a task that has waited longer",
+    Obstacle.NO_SERVER: "no server accepts work now",
 }
 
-REMEDIES: dict[Obstacle, str] = {
-    Obstacle.NO_ROOM: "a task that ends, or a smaller declared size",
-    Obstacle.QUOTA: "a task of the team that ends, or a larger quota",
-    Obstacle.BACKOFF: "nothing; it is tried again by itself",
-    Obstacle.OTHER_OWNER_FIRST: "nothing; it is placed within moments",
-    Obstacle.INTERFERENCE: "less load on the services, or interference.quiet_slowdown",
-    Obstacle.RESERVED: "the longer waiting task finding its place",
-    Obstacle.NO_SERVER: "a server that is listed, undrained and answers its owner",
+OBSTACLE_REMEDIES: dict[Obstacle, str] = {
+    Obstacle.NO_ROOM: "a running task that ends, or a smaller declared size",
+    Obstacle.QUOTA: "a running task of the team that ends, or a larger quota",
+    Obstacle.BACKOFF: "nothing; it is retried automatically",
+    Obstacle.OTHER_OWNER_FIRST: "nothing; it is placed shortly",
+    Obstacle.INTERFERENCE: "less load on the services, or a higher interference.quiet_slowdown",
+    Obstacle.RESERVED: "the placement of the task that has waited longer",
+    Obstacle.NO_SERVER: "a server that is listed, is not drained and answers its owner",
 }
 
 
 class Explanation(NamedTuple):
-    """One sentence and the facts behind it."""
+    """A sentence that explains a state, and the facts that it is based on."""
 
     sentence: str
     facts: Row
 
 
 def task_rows(core: Core, state: TaskState) -> list[Row]:
-    """Return the tasks in a state, one row each."""
+    """Return one row for each task in the given state."""
     rows = []
     for task in core.ledger.tasks.values():
         if task.state is state:
@@ -70,7 +70,7 @@
 
 
 def reason_of(core: Core, task: Task) -> str:
-    """Return the short reason for a task's state."""
+    """Return the obstacle of a pending task if one is known, else the stored reason."""
     obstacle = core.obstacles.get(task.id)
     if task.state is TaskState.PENDING and obstacle is not None:
         return obstacle.value
@@ -78,20 +78,20 @@
 
 
 def worker_rows(core: Core, now: float) -> list[Row]:
-    """Return the backend servers with owner, epoch and room, one row each."""
-    told: dict[InstanceId, tuple[InstanceId, ServerStatus | None]] = {
+    """Return one row for each backend server, with its owner, epoch and free capacity."""
+    statuses: dict[InstanceId, tuple[InstanceId, ServerStatus | None]] = {
         status.server: (peer.beat.sender, status)
         for peer in core.members.peers.values()
         if membership.is_alive(core.members, peer.beat.sender, core.policy, now)
         for status in peer.beat.servers
     }
-    for mine in core.server_status(lambda server: 0):
-        told[mine.server] = (core.members.me, mine)
+    for own_status in core.server_status(lambda server: 0):
+        statuses[own_status.server] = (core.members.me, own_status)
     rows = []
     for instance in core.members.listed.values():
         if instance.role is not Role.BACKEND:
             continue
-        owner, status = told.get(instance.id, _NOBODY)
+        owner, status = statuses.get(instance.id, _NO_OWNER)
         claim = core.ledger.claims.get(instance.id)
         rows.append(
             {
@@ -113,7 +113,7 @@
 
 
 def instance_rows(core: Core, now: float) -> list[Row]:
-    """Return every listed instance, one row each."""
+    """Return one row for each listed instance."""
     rows = []
     for instance in core.members.listed.values():
         row: Row = {
@@ -137,8 +137,8 @@
     return rows
 
 
-def facts_here(core: Core, name: str, now: float) -> Row:
-    """Return what only this instance knows of a task: its own view of placing it."""
+def local_facts(core: Core, name: str, now: float) -> Row:
+    """Return the facts about a task that only this instance knows, such as placement obstacles."""
     task = core.ledger.tasks.get(TaskId(name)) or core.ledger.tasks.get(TaskId(f"{name}.0"))
     if task is None:
         return {}
@@ -158,10 +158,10 @@
 
 def _nearest(core: Core, task: Task) -> list[Row]:
     size = size_for(core, task)
-    rooms = []
+    shortfalls = []
     for status in core.server_status(lambda server: 0):
         lacks = size.minus(status.free)
-        rooms.append(
+        shortfalls.append(
             {
                 "instance": status.server,
                 "lacks_processors": round(max(0.0, lacks.processors), 2),
@@ -169,30 +169,39 @@
                 "lacks_accelerators": max(0, lacks.accelerators),
             }
         )
-    rooms.sort(key=lambda room: (room["lacks_accelerators"], room["lacks_processors"]))
-    return rooms[:_NEAREST]
+    shortfalls.sort(key=lambda row: (row["lacks_accelerators"], row["lacks_processors"]))
+    return shortfalls[:_MAX_NEAREST]
 
 
-def why(core: Core, name: str, found: list[Row]) -> Explanation | None:
-    """Explain a task, a job or a request from what all that answered know."""
-    for one in found:
-        if "decision" in one:
-            return _why_request(one)
+def why(core: Core, name: str, answers: list[Row]) -> Explanation | None:
+    """Explain a task, a job or a request.
+
+    Args:
+        core: the state of this instance.
+        name: the id of the task, job or request.
+        answers: the facts from this instance and from each peer that answered.
+
+    Returns:
+        None if no task, job or recent request has that id.
+    """
+    for answer in answers:
+        if "decision" in answer:
+            return _why_request(answer)
     job = core.ledger.jobs.get(JobId(name))
     if job is not None:
-        return _why_job(core, job, found)
+        return _why_job(core, job, answers)
     task = core.ledger.tasks.get(TaskId(name))
-    return _why_task(core, task, found) if task is not None else None
+    return _why_task(core, task, answers) if task is not None else None
 
 
-def _why_request(found: Row) -> Explanation:
-    decision = found["decision"]
-    said = "answered" if decision["kind"] == "answered" else f"refused as {decision['kind']}"
-    sentence = f"{decision['request']} was {said} by {found['by']}: {decision['detail']}."
-    return Explanation(sentence, {**decision, "entry": found["by"]})
+def _why_request(answer: Row) -> Explanation:
+    decision = answer["decision"]
+    result = "answered" if decision["kind"] == "answered" else f"refused as {decision['kind']}"
+    sentence = f"{decision['request']} was {result} by {answer['by']}: {decision['detail']}."
+    return Explanation(sentence, {**decision, "entry": answer["by"]})
 
 
-def _why_job(core: Core, job: Job, found: list[Row]) -> Explanation:
+def _why_job(core: Core, job: Job, answers: list[Row]) -> Explanation:
     waiting = [
         core.ledger.tasks[task]
         for task in job.tasks
@@ -201,28 +210,34 @@
     state = job_state(core.ledger, job)
     if not waiting:
         return Explanation(f"{job.id} finished all {len(job.tasks)} tasks.", {"state": state.value})
-    first = _why_task(core, waiting[0], found)
-    sentence = f"{job.id} is {state.value}, {len(waiting)} of {len(job.tasks)} tasks to go. "
+    first = _why_task(core, waiting[0], answers)
+    sentence = (
+        f"{job.id} is {state.value}, {len(waiting)} of {len(job.tasks)} tasks have not finished. "
+    )
     return Explanation(sentence + first.sentence, {"state": state.value, **first.facts})
 
 
-def _why_task(core: Core, task: Task, found: list[Row]) -> Explanation:
+def _why_task(core: Core, task: Task, answers: list[Row]) -> Explanation:
     facts = _task_facts(core, task)
     if task.state is TaskState.RUNNING:
         return _why_running(core, task, facts)
     if task.state in ENDED:
-        reason = task.reason or "it ran to its end"
+        reason = task.reason or "it finished normally"
         return Explanation(f"{task.id} is {task.state.value}: {reason}.", facts)
-    views = [one for one in found if "nearest" in one or "obstacle" in one]
-    facts["nearest"] = [room for view in views for room in view.get("nearest", [])][:_NEAREST]
+    views = [answer for answer in answers if "nearest" in answer or "obstacle" in answer]
+    facts["nearest"] = [shortfall for view in views for shortfall in view.get("nearest", [])][
+        :_MAX_NEAREST
+    ]
     obstacles = [Obstacle(view["obstacle"]) for view in views if "obstacle" in view]
     facts["obstacles"] = sorted({obstacle.value for obstacle in obstacles})
-    main = _main_obstacle(obstacles)
-    if main is None:
-        since = max(0.0, time.time() - task.since)
-        return Explanation(f"{task.id} has waited {since:.1f} s and is being placed.", facts)
-    facts["would_change_it"] = REMEDIES[main]
-    sentence = f"{task.id} waits because {SENTENCES[main]}"
+    main_obstacle = _main_obstacle(obstacles)
+    if main_obstacle is None:
+        waited_s = max(0.0, time.time() - task.since)
+        return Explanation(
+            f"{task.id} has waited {waited_s:.1f} s and is about to be placed.", facts
+        )
+    facts["would_change_it"] = OBSTACLE_REMEDIES[main_obstacle]
+    sentence = f"{task.id} waits because {OBSTACLE_REASONS[main_obstacle]}"
     if task.reason and task.attempt:
         sentence += f" ({task.reason})"
     return Explanation(f"{sentence}.", facts)
@@ -238,13 +253,13 @@
         Obstacle.NO_ROOM,
         Obstacle.NO_SERVER,
     )
-    return next((one for one in order if one in obstacles), None)
+    return next((obstacle for obstacle in order if obstacle in obstacles), None)
 
 
 def _why_running(core: Core, task: Task, facts: Row) -> Explanation:
     claim = core.ledger.claims.get(InstanceId(task.server or ""))
     owner = claim.owner if claim else "nobody"
-    sentence = f"{task.id} runs its attempt {task.attempt} on {task.server}, owned by {owner}."
+    sentence = f"{task.id} runs attempt {task.attempt} on {task.server}, owned by {owner}."
     return Explanation(sentence, facts)
 
 
@@ -252,14 +267,16 @@
     spec = core.ledger.spec(task)
     size = size_for(core, task)
     claim = core.ledger.claims.get(task.server) if task.server else None
-    backends = [one for one in core.members.listed.values() if one.role is Role.BACKEND]
+    backends = [
+        instance for instance in core.members.listed.values() if instance.role is Role.BACKEND
+    ]
     return {
         "task": task.id,
         "state": task.state.value,
         "attempt": task.attempt,
         "evictions": task.evictions,
         "failures": task.failures,
-        "servers_crashed": [one.server for one in task.crashes],
+        "servers_crashed": [crash.server for crash in task.crashes],
         "instance": task.server or "",
         "epoch": task.epoch,
         "owner": claim.owner if claim else "",
--- a/spoolcrank/fleet.py
+++ b/spoolcrank/fleet.py
@@ -1,4 +1,4 @@
-"""Describe the platform's instances as its list and the fleet file give them."""
+"""Define the platform's instances as read from its instance list or from a fleet file."""
 
 import tomllib
 from enum import Enum
@@ -11,21 +11,21 @@
 
 
 class Role(Enum):
-    """What an instance is for."""
+    """The role of an instance."""
 
     ENTRY = "entry"
     BACKEND = "backend"
 
 
-class Standing(Enum):
-    """Whether the platform means to keep an instance."""
+class InstanceState(Enum):
+    """Whether the platform is about to remove an instance."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance(BaseModel):
-    """One entry of the platform's instance list."""
+    """An entry of the platform's instance list."""
 
     model_config = ConfigDict(frozen=True, extra="ignore")
 
@@ -35,7 +35,7 @@
     rack: Rack = Rack("")
     address: Address
     peer_address: Address = Address("")
-    state: Standing = Standing.LIVE
+    state: InstanceState = InstanceState.LIVE
     processors: float = Field(default=0, ge=0)
     memory_mb: float = Field(default=0, ge=0)
     accelerators: int = Field(default=0, ge=0)
@@ -45,28 +45,37 @@
 
     @property
     def capacity(self) -> Resources:
-        """Return the whole capacity of the instance."""
+        """Return the total capacity of the instance."""
         return Resources(self.processors, self.memory_mb, self.accelerators)
 
     @property
     def leaving(self) -> bool:
-        """Tell whether the platform is taking the instance away."""
-        return self.state is Standing.LEAVING
+        """Return whether the platform is about to remove the instance."""
+        return self.state is InstanceState.LEAVING
 
 
 _LIST: TypeAdapter[list[Instance]] = TypeAdapter(list[Instance])
 
 
 def parse_list(raw: bytes) -> list[Instance]:
-    """Return the instances of a JSON list; raises pydantic.ValidationError."""
+    """Parse the instances of a JSON list.
+
+    Raises:
+        pydantic.ValidationError: if the list is invalid.
+    """
     return _LIST.validate_json(raw)
 
 
 def parse_file(text: str) -> list[Instance]:
-    """Return the instances of a fleet file in TOML; raises pydantic.ValidationError."""
+    """Parse the instances of a fleet file in TOML.
+
+    Raises:
+        pydantic.ValidationError: if an instance is invalid.
+        tomllib.TOMLDecodeError: if the text is not TOML.
+    """
     return _LIST.validate_python(tomllib.loads(text).get("instances", []))
 
 
 def dump_list(instances: list[Instance]) -> list[dict[str, Any]]:
-    """Return the list as plain JSON values."""
+    """Return the instances as plain JSON values."""
     return [instance.model_dump(mode="json") for instance in instances]
--- a/spoolcrank/ids.py
+++ b/spoolcrank/ids.py
@@ -1,4 +1,4 @@
-"""Name the identifiers that pass between modules."""
+"""Define the types of the identifiers that modules share."""
 
 from typing import NewType
 from uuid import uuid4
@@ -23,19 +23,19 @@
 NO_EPOCH = Epoch(0)
 NO_INCARNATION = Incarnation("")
 NO_CONFIG = ConfigVersion(0)
-_SHORT = 12
+_RANDOM_HEX_DIGITS = 12
 
 
 def unique(prefix: str) -> str:
-    """Return a new identifier of the given prefix."""
-    return f"{prefix}-{uuid4().hex[:_SHORT]}"
+    """Return a new random identifier with the given prefix."""
+    return f"{prefix}-{uuid4().hex[:_RANDOM_HEX_DIGITS]}"
 
 
 def task_id(job: JobId, index: int) -> TaskId:
-    """Return the id of the job's task number `index`, counted from zero."""
+    """Return the id of the task at `index` in the job, counted from zero."""
     return TaskId(f"{job}.{index}")
 
 
 def job_of(task: TaskId) -> JobId:
-    """Return the job that a task belongs to."""
+    """Return the id of the job that a task belongs to."""
     return JobId(task.rpartition(".")[0])
--- a/spoolcrank/instance_watch.py
+++ b/spoolcrank/instance_watch.py
@@ -1,4 +1,4 @@
-"""Poll the platform's instance list."""
+"""Poll the platform's instance list over HTTP."""
 
 from circuits import BaseComponent
 from pydantic import ValidationError
@@ -10,12 +10,12 @@
 from spoolcrank.ids import Address
 from spoolcrank.metrics import Metrics
 
-_POLL_S = 0.5
-_TIMEOUT_S = 2.0
+_POLL_INTERVAL_S = 0.5
+_REQUEST_TIMEOUT_S = 2.0
 
 
 class InstanceWatch(BaseComponent):
-    """Own the conversation with the instance list."""
+    """Poll the instance list and fire `fleet_listed` whenever it changes."""
 
     channel = "instances"
 
@@ -27,24 +27,24 @@
         self._timers = timers
         self._address = address
         self._metrics = metrics
-        self._last = b""
+        self._last_body = b""
 
     def begin(self) -> None:
-        """Ask for the list, then again and again."""
-        call = HttpCall(self._address, "GET", "/instances", {}, b"", _TIMEOUT_S)
+        """Request the list and schedule the next request after each result."""
+        call = HttpCall(self._address, "GET", "/instances", {}, b"", _REQUEST_TIMEOUT_S)
         self._http.send(call, self._on_result)
 
     def _on_result(self, result: HttpResult) -> None:
-        self._timers.after(_POLL_S, self.begin)
+        self._timers.after(_POLL_INTERVAL_S, self.begin)
         if not result.ok:
             self._metrics.incr("instances.failed")
             return
-        if result.body == self._last:
+        if result.body == self._last_body:
             return
         try:
             instances = parse_list(result.body)
         except ValidationError:
             self._metrics.incr("instances.unreadable")
             return
-        self._last = result.body
+        self._last_body = result.body
         self.fire(fleet_listed(instances))
--- a/spoolcrank/jobs.py
+++ b/spoolcrank/jobs.py
@@ -1,4 +1,4 @@
-"""Describe the jobs that callers submit and the states that tasks go through."""
+"""Define the jobs that callers submit and the states of their tasks."""
 
 from enum import Enum
 from typing import Any
@@ -15,11 +15,15 @@
 MAX_MEMORY_MB = 16_777_216
 MAX_ACCELERATORS = 64
 MAX_DEADLINE_S = 31 * 86400
-HIGHEST_URGENCY = 9
+MAX_URGENCY = 9
 
 
 class JobClass(Enum):
-    """How a job's tasks are treated: kept quick, filled in, or kept running."""
+    """How the tasks of a job are treated.
+
+    Service tasks are latency-critical, batch tasks use the remaining capacity, and repeatable
+    watcher tasks are restarted whenever they end.
+    """
 
     SERVICE = "service"
     BATCH = "batch"
@@ -27,7 +31,7 @@
 
 
 class TaskState(Enum):
-    """Where a task stands."""
+    """The state of a task."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -65,13 +69,13 @@
 
 
 class JobSpec(BaseModel):
-    """A job as its submitter declares it."""
+    """The specification of a job as its caller submits it."""
 
     model_config = ConfigDict(frozen=True, extra="forbid", populate_by_name=True)
 
     name: str = Field(min_length=1, max_length=200)
     job_class: JobClass = Field(default=JobClass.BATCH, alias="class")
-    urgency: int = Field(default=0, ge=0, le=HIGHEST_URGENCY, strict=True)
+    urgency: int = Field(default=0, ge=0, le=MAX_URGENCY, strict=True)
     tasks: int = Field(default=1, ge=1, le=MAX_TASKS, strict=True)
     size: Size = Size()
     repeatable: bool = Field(default=True, strict=True)
@@ -81,23 +85,24 @@
 
     @property
     def task_class(self) -> TaskClass:
-        """Return the class by which use and interference are learnt."""
+        """Return the class under which resource use and interference are learned."""
         return TaskClass(str(self.payload.get("task_class") or self.name))
 
 
 def refusal_of(exc: ValidationError, kind: ErrorKind = ErrorKind.BAD_FIELD) -> Refusal:
-    """Return a refusal that names every field that a check found wrong."""
+    """Return a refusal that names every invalid field of a failed validation."""
     problems = [
-        (".".join(str(part) for part in err["loc"]) or "body", err["msg"]) for err in exc.errors()
+        (".".join(str(part) for part in error["loc"]) or "body", error["msg"])
+        for error in exc.errors()
     ]
-    if any(err["type"] == "json_invalid" for err in exc.errors()):
+    if any(error["type"] == "json_invalid" for error in exc.errors()):
         kind = ErrorKind.BAD_JSON
     detail = "; ".join(f"{name}: {message}" for name, message in problems)
     return Refusal(kind, detail, field=problems[0][0])
 
 
 def parse_job(raw: bytes) -> Result[JobSpec, Refusal]:
-    """Read a job from JSON, or say which field is wrong."""
+    """Parse a job from JSON, or return a refusal that names the invalid fields."""
     try:
         return Success(JobSpec.model_validate_json(raw))
     except ValidationError as exc:
--- a/spoolcrank/language.py
+++ b/spoolcrank/language.py
@@ -1,4 +1,7 @@
-"""Read the operators' language; an error points at the word and proposes the nearest."""
+"""Parse the operators' command language.
+
+A syntax error names the unexpected word and suggests the closest keyword.
+"""
 
 import difflib
 from functools import lru_cache
@@ -11,24 +14,24 @@
 
 from spoolcrank.errors import ErrorKind, Refusal
 
-WORDS = (
+KEYWORDS = (
     *("show", "why", "explain", "cancel", "drain", "undrain", "declare-lost", "set", "config"),
     *("pending", "running", "refused", "workers", "instances", "jobs", "history", "diff"),
     *("where", "preview", "if-version"),
     *("team", "zone", "reason", "class", "name", "state", "instance", "job", "urgency", "service"),
 )
-_MAX_LENGTH = 4000
+_MAX_COMMAND_CHARS = 4000
 
 
 class Filter(NamedTuple):
-    """One condition of a `where`; a value ending in `*` matches by its beginning."""
+    """A condition of a `where` clause; a value that ends in `*` matches as a prefix."""
 
     field: str
     value: str
 
 
 class Show(NamedTuple):
-    """List something."""
+    """List the rows of `what`, such as jobs or workers, that meet all filters."""
 
     what: str
     filters: tuple[Filter, ...] = ()
@@ -41,7 +44,7 @@
 
 
 class Cancel(NamedTuple):
-    """Cancel jobs by id, or by filter."""
+    """Cancel jobs by id or by filter; with `preview`, only list them."""
 
     jobs: tuple[str, ...]
     filters: tuple[Filter, ...]
@@ -49,14 +52,14 @@
 
 
 class DrainCommand(NamedTuple):
-    """Take an instance or a rack out of use, or back into it."""
+    """Take an instance or a rack out of use, or return it to use."""
 
     target: str
     on: bool
 
 
 class Lost(NamedTuple):
-    """State that a server is gone for good."""
+    """Declare that a server is permanently lost."""
 
     server: str
 
@@ -70,7 +73,7 @@
 
 
 class ConfigCommand(NamedTuple):
-    """Show the configuration's history, or what differs from the defaults."""
+    """Show the configuration's history, or the settings that differ from the defaults."""
 
     what: str
 
@@ -78,8 +81,8 @@
 Parsed = Show | Why | Cancel | DrainCommand | Lost | Set | ConfigCommand
 
 
-class _Build(Transformer[Token, Parsed]):
-    """Turn the parse tree into commands."""
+class _CommandBuilder(Transformer[Token, Parsed]):
+    """Transform a parse tree into a command."""
 
     def start(self, items: list[Parsed]) -> Parsed:
         return items[0]
@@ -103,11 +106,11 @@
     explain = why
 
     def cancel(self, items: list[object]) -> Cancel:
-        chosen = items[0]
+        selection = items[0]
         preview = len(items) > 1 and items[1] is not None
-        if isinstance(chosen, tuple):
-            return Cancel((), chosen, preview)
-        names = tuple(chosen) if isinstance(chosen, list) else ()
+        if isinstance(selection, tuple):
+            return Cancel((), selection, preview)
+        names = tuple(selection) if isinstance(selection, list) else ()
         return Cancel(names, (), preview)
 
     def drain(self, items: list[Token]) -> DrainCommand:
@@ -134,28 +137,32 @@
 
 
 def parse(text: str) -> Result[Parsed, Refusal]:
-    """Read one command, or say at which word it goes wrong."""
-    if len(text) > _MAX_LENGTH:
-        return Failure(Refusal(ErrorKind.BAD_COMMAND, f"longer than {_MAX_LENGTH} characters"))
+    """Parse one command, or return a refusal that names the unexpected word."""
+    if len(text) > _MAX_COMMAND_CHARS:
+        return Failure(
+            Refusal(
+                ErrorKind.BAD_COMMAND, f"the command is longer than {_MAX_COMMAND_CHARS} characters"
+            )
+        )
     try:
-        command: Parsed = _Build().transform(_parser().parse(text))
+        command: Parsed = _CommandBuilder().transform(_parser().parse(text))
         return Success(command)
     except UnexpectedInput as exc:
-        return Failure(_explain(text, exc))
+        return Failure(_syntax_refusal(text, exc))
     except LarkError as exc:
         return Failure(Refusal(ErrorKind.BAD_COMMAND, str(exc)))
 
 
-def _explain(text: str, exc: UnexpectedInput) -> Refusal:
+def _syntax_refusal(text: str, exc: UnexpectedInput) -> Refusal:
     position = exc.pos_in_stream if exc.pos_in_stream is not None else len(text)
     if isinstance(exc, UnexpectedToken) and exc.token.type == "$END":
         position = len(text)
     start = max(text.rfind(" ", 0, position) + 1, 0)
     word = text[start:].split()[0] if text[start:].split() else ""
     if not word:
-        return Refusal(ErrorKind.BAD_COMMAND, "the command ends too early", "text")
-    near = difflib.get_close_matches(word.partition("=")[0], WORDS, n=1)
-    hint = f"; did you mean {near[0]!r}?" if near else ""
+        return Refusal(ErrorKind.BAD_COMMAND, "the command is incomplete", "text")
+    suggestions = difflib.get_close_matches(word.partition("=")[0], KEYWORDS, n=1)
+    hint = f"; did you mean {suggestions[0]!r}?" if suggestions else ""
     kind = "unexpected" if isinstance(exc, UnexpectedCharacters | UnexpectedToken) else "bad"
     detail = f"{kind} word {word!r} at character {start + 1}{hint}"
     return Refusal(ErrorKind.BAD_COMMAND, detail, word)
--- a/spoolcrank/ledger.py
+++ b/spoolcrank/ledger.py
@@ -1,8 +1,8 @@
-"""Hold what the log says: jobs, tasks, owners, keys, drains and commands.
+"""Hold the state that the log describes: jobs, tasks, owners, keys, drains and commands.
 
-Every instance applies the same records in the same order, so every instance holds the
-same ledger at the same offset. Nothing in here reads a clock: where age matters, the
-writers' times in the records decide.
+Every instance applies the same records in the same order, so every instance has the
+same ledger at the same offset. This module never reads a clock: ages are computed from the
+writers' timestamps in the records.
 """
 
 from collections.abc import Iterator
@@ -30,7 +30,7 @@
 
 
 class Task(BaseModel):
-    """One task and its current attempt."""
+    """A task and its current attempt."""
 
     id: TaskId
     job: JobId
@@ -51,7 +51,7 @@
 
 
 class Job(BaseModel):
-    """One job and the ids of its tasks."""
+    """A job and the ids of its tasks; `open` counts the tasks that have not ended."""
 
     id: JobId
     spec: JobSpec
@@ -63,7 +63,7 @@
 
 
 class Claim(BaseModel):
-    """Who owns a backend server by the log, from which time by the writer's clock."""
+    """The owner of a backend server by the log; `at` is the time on the writer's clock."""
 
     owner: InstanceId
     incarnation: Incarnation
@@ -72,7 +72,7 @@
 
 
 class Key(BaseModel):
-    """A request's idempotency key and what became of its first request."""
+    """An idempotency key and the outcome of the first request that used it."""
 
     request: RequestId
     holder: InstanceId
@@ -82,7 +82,7 @@
 
 
 class Drain(BaseModel):
-    """Who took an instance or a rack out of use."""
+    """The command that took an instance or a rack out of use, and its author."""
 
     command: CommandId
     by: str
@@ -90,7 +90,7 @@
 
 
 class Verdict(BaseModel):
-    """What a command came to, the same on every instance."""
+    """The result of a command, which is the same on every instance."""
 
     ok: bool
     detail: str
@@ -98,14 +98,18 @@
 
 
 class Writer(BaseModel):
-    """The last record seen of a writer."""
+    """The sequence number and time of the last record applied from a writer."""
 
     seq: int
     at: float
 
 
 class Ledger(BaseModel):
-    """The state that the control stream adds up to."""
+    """The state that results from applying the control stream.
+
+    `pending`, `by_server` and `by_team` are indexes over `tasks`; they are left out of snapshots.
+    `void` counts the records that had no effect.
+    """
 
     offset: int = 0
     latest: float = 0.0
@@ -121,32 +125,32 @@
     by_team: dict[Team, float] = Field(default={}, exclude=True)
     void: int = 0
 
-    def index(self) -> None:
-        """Build the indexes anew, as after a snapshot was read."""
+    def rebuild_indexes(self) -> None:
+        """Rebuild the indexes, which a snapshot does not contain."""
         self.pending.clear()
         self.by_server.clear()
         self.by_team.clear()
         for task in self.tasks.values():
-            self._enter(task)
+            self._add_to_indexes(task)
 
     def placed_at(self, server: InstanceId) -> list[Task]:
-        """Return the tasks that the log binds to `server`."""
+        """Return the tasks that are bound to `server` according to the log."""
         return [self.tasks[task] for task in self.by_server.get(server, {})]
 
     def waiting(self) -> Iterator[Task]:
-        """Yield the tasks that wait for a place."""
+        """Yield the tasks that wait to be placed on a server."""
         return (self.tasks[task] for task in self.pending)
 
     def epoch(self, server: InstanceId) -> Epoch:
-        """Return the epoch of the server's owner by the log."""
+        """Return the epoch of the server's owner according to the log."""
         claim = self.claims.get(server)
         return claim.epoch if claim else NO_EPOCH
 
     def spec(self, task: Task) -> JobSpec:
-        """Return the declaration of the task's job."""
+        """Return the specification of the task's job."""
         return self.jobs[task.job].spec
 
-    def _enter(self, task: Task) -> None:
+    def _add_to_indexes(self, task: Task) -> None:
         if task.state is TaskState.PENDING:
             self.pending[task.id] = None
         if task.server is not None:
@@ -154,7 +158,7 @@
             team = self.spec(task).team
             self.by_team[team] = self.by_team.get(team, 0.0) + task.size.processors
 
-    def _leave(self, task: Task) -> None:
+    def _remove_from_indexes(self, task: Task) -> None:
         self.pending.pop(task.id, None)
         if task.server is not None:
             self.by_server.get(task.server, {}).pop(task.id, None)
@@ -163,7 +167,7 @@
 
 
 def key_error(key: Key, holder_alive: bool) -> ErrorKind | None:
-    """Return the error for a repeated key whose first answer cannot be given, if any."""
+    """Return the error for a repeated key, or None if the first answer can be returned."""
     if key.done is None:
         return ErrorKind.KEY_IN_PROGRESS if holder_alive else ErrorKind.KEY_OUTCOME_UNKNOWN
     if key.done.outcome is Outcome.UNKNOWN:
@@ -174,7 +178,7 @@
 
 
 def job_state(ledger: Ledger, job: Job) -> TaskState:
-    """Return the one state that sums up a job's tasks."""
+    """Return the state of a job: the first state, in the order below, that any task is in."""
     states = {ledger.tasks[task].state for task in job.tasks}
     for state in (
         TaskState.RUNNING,
@@ -195,7 +199,11 @@
 
 
 def load(text: str) -> Ledger:
-    """Return the ledger of a snapshot; raises pydantic.ValidationError."""
+    """Return the ledger of a snapshot.
+
+    Raises:
+        pydantic.ValidationError: if the text is not a valid snapshot.
+    """
     ledger = Ledger.model_validate_json(text)
-    ledger.index()
+    ledger.rebuild_indexes()
     return ledger
--- a/spoolcrank/ledger_records.py
+++ b/spoolcrank/ledger_records.py
@@ -1,6 +1,6 @@
-"""Apply the log's records to the ledger, in their order, the same on every instance.
+"""Apply the log's records to the ledger in log order, with the same result on every instance.
 
-Nothing in here reads a clock: where age matters, the writers' times in the records decide.
+This module never reads a clock: ages are computed from the writers' timestamps in the records.
 """
 
 from spoolcrank.epochs import claim_of
@@ -26,24 +26,24 @@
     Placed,
 )
 
-MAX_FAILURES = 4
-KEEP_ENDED_S = 3600.0
-KEEP_KEYS_S = 900.0
-KEEP_WRITERS_S = 7200.0
+MAX_TASK_FAILURES = 4
+ENDED_JOB_RETENTION_S = 3600.0
+KEY_RETENTION_S = 900.0
+WRITER_RETENTION_S = 7200.0
 RESTART_BACKOFF_S = (0.0, 0.5, 2.0, 5.0, 10.0, 30.0)
-_PRUNE_EVERY = 512
+_PRUNE_INTERVAL_RECORDS = 512
 
 
 def apply(ledger: Ledger, offset: int, env: Envelope) -> bool:
-    """Apply one record and tell whether it took effect.
+    """Apply one record and return whether it took effect.
 
     Args:
         ledger: changed in place.
-        offset: the record's offset; one already applied is passed over.
+        offset: the record's offset; a record that has already been applied is skipped.
         env: the record with its writer.
 
     Returns:
-        False for a repeated append and for a record that the log's order makes void.
+        False for a repeated append and for a record that an earlier record has made void.
     """
     if offset < ledger.offset:
         return False
@@ -56,7 +56,7 @@
     took_effect = _apply_record(ledger, env)
     if not took_effect:
         ledger.void += 1
-    if offset % _PRUNE_EVERY == 0:
+    if offset % _PRUNE_INTERVAL_RECORDS == 0:
         prune(ledger)
     return took_effect
 
@@ -91,8 +91,10 @@
     ids = [task_id(rec.job, index) for index in range(rec.spec.tasks)]
     ledger.jobs[rec.job] = Job(id=rec.job, spec=rec.spec, at=at, tasks=ids, open=len(ids))
     for task in ids:
-        entry = Task(id=task, job=rec.job, size=rec.spec.size, since=at, reason="waits for a place")
-        ledger.tasks[task] = entry
+        new_task = Task(
+            id=task, job=rec.job, size=rec.spec.size, since=at, reason="waits for a place"
+        )
+        ledger.tasks[task] = new_task
         ledger.pending[task] = None
     return True
 
@@ -105,7 +107,7 @@
         return False
     if claim_of(rec.epoch) != ledger.epoch(rec.server) or rec.epoch == NO_EPOCH:
         return False
-    ledger._leave(task)
+    ledger._remove_from_indexes(task)
     task.state = TaskState.RUNNING
     task.attempt = rec.attempt
     task.server = rec.server
@@ -114,7 +116,7 @@
     task.size = rec.size
     task.since = at
     task.reason = ""
-    ledger._enter(task)
+    ledger._add_to_indexes(task)
     return True
 
 
@@ -126,14 +128,14 @@
         return False
     if claim_of(rec.epoch) < ledger.epoch(rec.server):
         return False
-    _settle(ledger, task, rec, at)
+    _end_attempt(ledger, task, rec, at)
     return True
 
 
-def _settle(ledger: Ledger, task: Task, rec: Ended, at: float) -> None:
+def _end_attempt(ledger: Ledger, task: Task, rec: Ended, at: float) -> None:
     job = ledger.jobs[task.job]
     spec = job.spec
-    ledger._leave(task)
+    ledger._remove_from_indexes(task)
     if rec.checkpoint is not None:
         task.checkpoint = rec.checkpoint
     task.server = None
@@ -142,7 +144,7 @@
     if rec.crash is not None:
         task.crashes = with_crash(task.crashes, rec.crash)
     elif rec.how != "lost":
-        # It ended while its server lived on.
+        # The attempt ended while its server was still running, so earlier crashes no longer count.
         task.crashes = []
     task.state, task.reason = _next_state(task, rec, spec, job.cancelled_by is not None)
     if rec.how == "failed":
@@ -156,42 +158,45 @@
         task.not_before = at + RESTART_BACKOFF_S[steps]
     if task.state is TaskState.PENDING and rec.crash is not None:
         task.not_before = at + pause_s(len(task.crashes))
-    _close_if_ended(job, task)
-    ledger._enter(task)
+    _decrement_open_if_ended(job, task)
+    ledger._add_to_indexes(task)
 
 
 def _next_state(task: Task, rec: Ended, spec: JobSpec, cancelled: bool) -> tuple[TaskState, str]:
     watcher = spec.job_class is JobClass.WATCHER
-    why = rec.reason or rec.how
+    reason = rec.reason or rec.how
     if rec.how == "finished" and not watcher:
         return TaskState.FINISHED, ""
     if cancelled:
         if rec.how == "lost" and not spec.repeatable:
             return TaskState.UNKNOWN, "cancelled, but its server was lost while it ran"
-        return TaskState.CANCELLED, why
+        return TaskState.CANCELLED, reason
     if rec.how == "refused":
-        return TaskState.PENDING, f"refused by {rec.server}: {why}"
+        return TaskState.PENDING, f"refused by {rec.server}: {reason}"
     if not spec.repeatable:
-        return _next_once_only(rec, why)
-    if rec.how == "failed" and not watcher and task.failures + 1 >= MAX_FAILURES:
-        return TaskState.FAILED, f"failed {MAX_FAILURES} times, last on {rec.server}: {why}"
+        return _next_state_non_repeatable(rec, reason)
+    if rec.how == "failed" and not watcher and task.failures + 1 >= MAX_TASK_FAILURES:
+        return TaskState.FAILED, f"failed {MAX_TASK_FAILURES} times, last on {rec.server}: {reason}"
     if is_guilty(task.crashes):
-        servers = ", ".join(one.server for one in task.crashes)
+        servers = ", ".join(crash.server for crash in task.crashes)
         return TaskState.FAILED, f"given up: servers crash soon after they start it: {servers}"
     return TaskState.PENDING, f"attempt {rec.attempt} on {rec.server} {rec.how}"
 
 
-def _next_once_only(rec: Ended, why: str) -> tuple[TaskState, str]:
+def _next_state_non_repeatable(rec: Ended, reason: str) -> tuple[TaskState, str]:
     if rec.how == "lost":
         return TaskState.UNKNOWN, f"started on {rec.server}, which was lost; may not be repeated"
     if rec.how in ("evicted", "lapsed", "stopped") and rec.checkpoint is not None:
         return TaskState.PENDING, f"{rec.how} on {rec.server} with its state kept; resumes"
     if rec.how in ("failed", "finished"):
-        return TaskState.FAILED, f"ended as {rec.how} on {rec.server}: {why}; may not be repeated"
+        return (
+            TaskState.FAILED,
+            f"ended as {rec.how} on {rec.server}: {reason}; may not be repeated",
+        )
     return TaskState.UNKNOWN, f"{rec.how} on {rec.server} with no state kept; may not be repeated"
 
 
-def _close_if_ended(job: Job, task: Task) -> None:
+def _decrement_open_if_ended(job: Job, task: Task) -> None:
     if task.state in ENDED:
         job.open -= 1
 
@@ -208,20 +213,20 @@
 def _cancel(ledger: Ledger, rec: JobsCancelled, at: float) -> bool:
     if rec.command in ledger.verdicts:
         return False
-    lost: list[str] = []
+    not_cancelled: list[str] = []
     done = 0
     for job_id in rec.jobs:
         job = ledger.jobs.get(job_id)
         if job is None:
-            lost.append(f"{job_id} is not known")
+            not_cancelled.append(f"{job_id} is not known")
         elif job.cancelled_by is not None:
-            lost.append(f"{job_id} was cancelled before by {job.cancelled_by}")
+            not_cancelled.append(f"{job_id} was cancelled before by {job.cancelled_by}")
         elif job.open == 0:
-            lost.append(f"{job_id} had ended before")
+            not_cancelled.append(f"{job_id} had ended before")
         else:
             _cancel_job(ledger, job, rec, at)
             done += 1
-    detail = "; ".join([f"cancelled {done}", *lost])
+    detail = "; ".join([f"cancelled {done}", *not_cancelled])
     ledger.verdicts[rec.command] = Verdict(ok=done > 0 or not rec.jobs, detail=detail, at=at)
     return done > 0
 
@@ -232,7 +237,7 @@
     for task_key in job.tasks:
         task = ledger.tasks[task_key]
         if task.state is TaskState.PENDING:
-            ledger._leave(task)
+            ledger._remove_from_indexes(task)
             task.state = TaskState.CANCELLED
             task.reason = job.reason
             task.since = at
@@ -246,7 +251,7 @@
     refused = [ledger.tasks[key] for key in job.tasks]
     refused = [task for task in refused if task.state is TaskState.PENDING]
     for task in refused:
-        ledger._leave(task)
+        ledger._remove_from_indexes(task)
         task.state = TaskState.REFUSED
         task.reason = rec.reason
         task.since = at
@@ -297,7 +302,7 @@
         return False
     tasks = ledger.placed_at(rec.server)
     for task in tasks:
-        gone = Ended(
+        ended = Ended(
             task=task.id,
             attempt=task.attempt,
             server=rec.server,
@@ -305,29 +310,32 @@
             how="lost",
             reason=f"{rec.server} declared lost by {rec.by or rec.command}",
         )
-        _settle(ledger, task, gone, at)
+        _end_attempt(ledger, task, ended, at)
     detail = f"{rec.server} declared lost, {len(tasks)} tasks taken off it"
     ledger.verdicts[rec.command] = Verdict(ok=True, detail=detail, at=at)
     return True
 
 
 def prune(ledger: Ledger) -> None:
-    """Drop what ended long before the latest record."""
-    old = ledger.latest - KEEP_ENDED_S
+    """Remove jobs, keys, verdicts and writers that are past their retention period.
+
+    The age is counted back from the time of the latest record.
+    """
+    cutoff = ledger.latest - ENDED_JOB_RETENTION_S
     for job in [job for job in ledger.jobs.values() if job.open == 0]:
-        if all(ledger.tasks[task].since < old for task in job.tasks):
+        if all(ledger.tasks[task].since < cutoff for task in job.tasks):
             for task in job.tasks:
                 ledger.tasks.pop(task)
             del ledger.jobs[job.id]
     _prune_keys(ledger)
-    for command in [key for key, verdict in ledger.verdicts.items() if verdict.at < old]:
+    for command in [key for key, verdict in ledger.verdicts.items() if verdict.at < cutoff]:
         del ledger.verdicts[command]
-    silent = ledger.latest - KEEP_WRITERS_S
-    for writer in [key for key, seen in ledger.writers.items() if seen.at < silent]:
+    writers_cutoff = ledger.latest - WRITER_RETENTION_S
+    for writer in [key for key, last in ledger.writers.items() if last.at < writers_cutoff]:
         del ledger.writers[writer]
 
 
 def _prune_keys(ledger: Ledger) -> None:
-    old = ledger.latest - KEEP_KEYS_S
-    for name in [name for name, key in ledger.keys.items() if key.at < old]:
+    cutoff = ledger.latest - KEY_RETENTION_S
+    for name in [name for name, key in ledger.keys.items() if key.at < cutoff]:
         del ledger.keys[name]
--- a/spoolcrank/operators.py
+++ b/spoolcrank/operators.py
@@ -1,4 +1,4 @@
-"""Carry out operators' commands and answer their questions for the whole fleet."""
+"""Execute operators' commands and answer their queries about the whole fleet."""
 
 import json
 import time
@@ -41,10 +41,10 @@
 )
 from spoolcrank.state import Core
 
-WHAT_WHY = "why"
-_CONFIRM_S = 5.0
-_CHECK_S = 0.05
-_GATHER_S = 1.0
+QUERY_WHY = "why"
+_CONFIRM_TIMEOUT_S = 5.0
+_CHECK_INTERVAL_S = 0.05
+_PEER_ANSWER_TIMEOUT_S = 1.0
 
 Row = dict[str, Any]
 
@@ -53,9 +53,9 @@
     """A command as it arrives over HTTP.
 
     Attributes:
-        text: the command in the operators' language.
-        id: the same id again gets the first answer again.
-        by: who gives it, for those it is told to.
+        text: the command in the operators' command language.
+        id: the id of the command; a repeated id returns the first answer.
+        by: the name of the operator, as stored and shown with the command.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -66,7 +66,7 @@
 
 
 class Operators:
-    """Answer `/commands` and `/config`."""
+    """Handler of `/commands`, `/config` and `/config/check`."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self._decisions = decisions
         self._timers = timers
         self._metrics = metrics
-        controller.responders[WHAT_WHY] = self._why_here
+        controller.responders[QUERY_WHY] = self._local_answer_json
 
     @property
     def _core(self) -> Core:
@@ -129,11 +129,11 @@
             case Failure(refusal):
                 self._jobs.refuse(refusal, reply)
             case Success(_) if req.path == "/config/check":
-                reply(json_reply(200, {"ok": True, "detail": "passes the check"}))
+                reply(json_reply(200, {"ok": True, "detail": "the configuration is valid"}))
             case Success(_):
                 version = req.query.get("if_version", str(self._controller.config.version))
                 if not version.isdigit():
-                    detail = "if_version must be a whole number"
+                    detail = "if_version must be an integer"
                     self._jobs.refuse(Refusal(ErrorKind.BAD_FIELD, detail, "if_version"), reply)
                     return
                 command = CommandId(req.query.get("id", unique("cmd")))
@@ -147,19 +147,19 @@
 
     def _show(self, command: Show, reply: Reply) -> None:
         rows = [row for row in self._rows(command.what) if matches(row, command.filters)]
-        reply(json_reply(200, {"rows": rows, "not_asked": self._zones_not_heard()}))
+        reply(json_reply(200, {"rows": rows, "not_asked": self._unreachable_zones()}))
 
-    def _zones_not_heard(self) -> list[str]:
+    def _unreachable_zones(self) -> list[str]:
         now = time.monotonic()
         members = self._core.members
-        entries = [one for one in members.listed.values() if one.role is Role.ENTRY]
-        zones = {str(one.availability_zone) for one in members.listed.values()}
-        heard = {
-            str(one.availability_zone)
-            for one in entries
-            if is_alive(members, one.id, self._core.policy, now)
+        entries = [instance for instance in members.listed.values() if instance.role is Role.ENTRY]
+        zones = {str(instance.availability_zone) for instance in members.listed.values()}
+        reachable = {
+            str(entry.availability_zone)
+            for entry in entries
+            if is_alive(members, entry.id, self._core.policy, now)
         }
-        return sorted(zones - heard)
+        return sorted(zones - reachable)
 
     def _rows(self, what: str) -> Iterable[Row]:
         match what:
@@ -192,13 +192,16 @@
         ]
 
     def _why(self, command: Why, reply: Reply) -> None:
-        """Explain from what we know, and from what every peer that answers knows."""
+        """Explain a task, job or request from the facts of this instance and of its peers.
+
+        The answer is sent once all live peers have answered, or after _PEER_ANSWER_TIMEOUT_S.
+        """
         peers = [
             peer.beat.sender
             for peer in self._core.members.peers.values()
             if is_alive(self._core.members, peer.beat.sender, self._core.policy, time.monotonic())
         ]
-        found = [json.loads(self._why_here(command.name))]
+        answers = [json.loads(self._local_answer_json(command.name))]
         waiting = len(peers)
         answered = False
 
@@ -207,38 +210,38 @@
             if answered:
                 return
             answered = True
-            self._answer_why(command.name, [one for one in found if one], reply)
+            self._answer_why(command.name, [facts for facts in answers if facts], reply)
 
-        def take(text: str | None) -> None:
+        def on_answer(text: str | None) -> None:
             nonlocal waiting
             waiting -= 1
             if text is not None:
-                found.append(json.loads(text))
+                answers.append(json.loads(text))
             if waiting <= 0:
                 finish()
 
         for peer in peers:
-            self._controller.ask(peer, WHAT_WHY, command.name, take)
+            self._controller.ask(peer, QUERY_WHY, command.name, on_answer)
         if not peers:
             finish()
-        self._timers.after(_GATHER_S, finish)
+        self._timers.after(_PEER_ANSWER_TIMEOUT_S, finish)
 
-    def _why_here(self, name: str) -> str:
+    def _local_answer_json(self, name: str) -> str:
         decision = self._decisions.find(name)
         if decision is not None:
             return json.dumps({"decision": decision._asdict(), "by": self._core.members.me})
-        return json.dumps(explain.facts_here(self._core, name, time.monotonic()))
+        return json.dumps(explain.local_facts(self._core, name, time.monotonic()))
 
-    def _answer_why(self, name: str, found: list[dict[str, Any]], reply: Reply) -> None:
-        answer = explain.why(self._core, name, found)
+    def _answer_why(self, name: str, answers: list[dict[str, Any]], reply: Reply) -> None:
+        answer = explain.why(self._core, name, answers)
         if answer is None:
-            detail = f"nothing is known of {name!r}: no task, job or recent request has that name"
+            detail = f"unknown id {name!r}: no task, job or recent request has it"
             self._jobs.refuse(Refusal(ErrorKind.NO_SUCH_JOB, detail, name), reply)
             return
         body = {
             "sentence": answer.sentence,
             "facts": answer.facts,
-            "not_asked": self._zones_not_heard(),
+            "not_asked": self._unreachable_zones(),
         }
         reply(json_reply(200, body))
 
@@ -274,9 +277,9 @@
         server = InstanceId(command.server)
         row = next(
             (
-                one
-                for one in explain.worker_rows(self._core, time.monotonic())
-                if one["instance"] == server
+                worker
+                for worker in explain.worker_rows(self._core, time.monotonic())
+                if worker["instance"] == server
             ),
             None,
         )
@@ -292,29 +295,29 @@
         self._record(record, request.id, reply)
 
     def _record(self, record: AnyRecord, command: CommandId, reply: Reply) -> None:
-        """Have a command ordered by the log, then tell what it came to."""
+        """Append a command to the log and reply with its verdict once it is applied."""
 
-        def tell() -> None:
+        def reply_verdict() -> None:
             verdict = self._core.ledger.verdicts.get(command)
             if verdict is None:
-                detail = "the command's verdict is not held any more"
+                detail = "the command's verdict is no longer stored"
                 self._jobs.refuse(Refusal(ErrorKind.LOG_ANSWER_UNKNOWN, detail), reply)
                 return
             body = {"ok": verdict.ok, "detail": verdict.detail, "id": command}
             reply(json_reply(200 if verdict.ok else 409, body))
 
         if command in self._core.ledger.verdicts:
-            tell()
+            reply_verdict()
         else:
-            self._jobs.record(record, tell, reply)
+            self._jobs.record(record, reply_verdict, reply)
 
     def _set(self, command: Set, request: CommandRequest, reply: Reply) -> None:
         config = self._controller.config
-        known = self._change(request.id)
-        if known is None and command.if_version not in (None, config.version):
+        change = self._find_change(request.id)
+        if change is None and command.if_version not in (None, config.version):
             last = config.history[-1] if config.history else None
-            beaten_by = f" by {last.command} of {last.by}" if last else ""
-            detail = f"the version is {config.version}{beaten_by}, not {command.if_version}"
+            changed_by = f", last changed by {last.command} of {last.by}" if last else ""
+            detail = f"the version is {config.version}{changed_by}, not {command.if_version}"
             self._jobs.refuse(Refusal(ErrorKind.STALE_VERSION, detail, "if-version"), reply)
             return
         match policy.with_value(config.toml, command.key, command.value):
@@ -326,23 +329,23 @@
                 )
                 self._publish(record, reply)
 
-    def _change(self, command: CommandId) -> Any:
+    def _find_change(self, command: CommandId) -> Any:
         history = self._controller.config.history
-        return next((one for one in history if one.command == command), None)
+        return next((change for change in history if change.command == command), None)
 
     def _publish(self, record: ConfigRecord, reply: Reply) -> None:
-        """Append a configuration and wait until reading shows what came of it."""
-        if self._change(record.command) is None:
+        """Append a configuration and reply once it has been read back as accepted or rejected."""
+        if self._find_change(record.command) is None:
             if not self._core.situation(time.monotonic()).log_ok:
-                refusal = Refusal(ErrorKind.LOG_UNAVAILABLE, "the log is down", "", 1.0)
+                refusal = Refusal(ErrorKind.LOG_UNAVAILABLE, "the log is unavailable", "", 1.0)
                 self._jobs.refuse(refusal, reply)
                 return
             self._controller.log_link.publish(record, lambda offset: None)
-        ends = time.monotonic() + _CONFIRM_S
-        self._await_change(record.command, ends, reply)
+        deadline = time.monotonic() + _CONFIRM_TIMEOUT_S
+        self._await_change(record.command, deadline, reply)
 
-    def _await_change(self, command: CommandId, ends: float, reply: Reply) -> None:
-        change = self._change(command)
+    def _await_change(self, command: CommandId, deadline: float, reply: Reply) -> None:
+        change = self._find_change(command)
         if change is not None:
             status = 200 if change.accepted else 409
             body = {
@@ -352,20 +355,22 @@
                 "id": command,
             }
             reply(json_reply(status, body))
-        elif time.monotonic() >= ends:
-            detail = "the log did not show the change in time; it may still take effect"
+        elif time.monotonic() >= deadline:
+            detail = "the change was not read back from the log in time; it may still take effect"
             reply(refusal_reply(Refusal(ErrorKind.LOG_ANSWER_UNKNOWN, detail)))
         else:
-            again: Callable[[], None] = lambda: self._await_change(command, ends, reply)  # noqa: E731
-            self._timers.after(_CHECK_S, again)
+            retry: Callable[[], None] = lambda: self._await_change(command, deadline, reply)  # noqa: E731
+            self._timers.after(_CHECK_INTERVAL_S, retry)
 
 
 def matches(row: Row, filters: tuple[Filter, ...]) -> bool:
-    """Tell whether a row meets every condition; a row without the field does not."""
-    return all(_meets(str(row.get(one.field, "")), one.value) for one in filters)
+    """Return whether a row meets every condition; a missing field counts as empty text."""
+    return all(
+        _matches_value(str(row.get(condition.field, "")), condition.value) for condition in filters
+    )
 
 
-def _meets(value: str, wanted: str) -> bool:
+def _matches_value(value: str, wanted: str) -> bool:
     if wanted.endswith("*"):
         return value.startswith(wanted[:-1])
     return value == wanted
--- a/spoolcrank/records.py
+++ b/spoolcrank/records.py
@@ -1,7 +1,7 @@
-"""Define the records that the system keeps on the platform's log.
+"""Define the records that the system stores in the platform's log.
 
-All of them go on one stream, so that one order covers claims, starts, results, keys and
-commands: a record written by a superseded owner is void for every reader alike.
+All records go to one stream, so that claims, starts, results, keys and commands share one
+order, and every reader treats a record written by a superseded owner as void.
 """
 
 from typing import Annotated, Any, Literal, NamedTuple
@@ -33,7 +33,7 @@
 
 
 class JobAccepted(_Base):
-    """A caller's job is taken on."""
+    """A caller's job is accepted."""
 
     kind: Literal["job"] = "job"
     job: JobId
@@ -68,7 +68,7 @@
 
 
 class Placed(_Base):
-    """The owner of a server gives a task its next attempt there."""
+    """The owner of a server binds the next attempt of a task to that server."""
 
     kind: Literal["place"] = "place"
     task: TaskId
@@ -80,10 +80,10 @@
 
 
 class Ended(_Base):
-    """An attempt ended, as the server's own list of ended attempts shows.
+    """The end of an attempt, as reported in the server's list of ended attempts.
 
-    `how` is one of finished, failed, evicted, stopped, lapsed, refused and lost. `crash` stands
-    where it was lost as its server crashed.
+    `how` is one of finished, failed, evicted, stopped, lapsed, refused and lost. `crash` is set
+    if the attempt was lost because its server crashed.
     """
 
     kind: Literal["end"] = "end"
@@ -98,7 +98,7 @@
 
 
 class KeyTaken(_Base):
-    """A request with an idempotency key is about to run at its holder."""
+    """A request with an idempotency key is about to run on the instance `holder`."""
 
     kind: Literal["key"] = "key"
     key: str
@@ -108,7 +108,7 @@
 
 
 class KeyDone(_Base):
-    """What became of a request with an idempotency key."""
+    """The outcome of a request with an idempotency key."""
 
     kind: Literal["key-done"] = "key-done"
     key: str
@@ -121,7 +121,7 @@
 
 
 class Drained(_Base):
-    """An operator takes an instance or a rack out of use, or back into it."""
+    """An operator takes an instance or a rack out of use, or returns it to use."""
 
     kind: Literal["drain"] = "drain"
     target: str
@@ -131,7 +131,7 @@
 
 
 class DeclaredLost(_Base):
-    """An operator states that a server is gone and runs nothing any more."""
+    """An operator declares that a server is lost and no longer runs any task."""
 
     kind: Literal["lost"] = "lost"
     server: InstanceId
@@ -168,12 +168,12 @@
 
 
 class Envelope(_Base):
-    """One record with its writer's identity and time.
+    """A record with its writer's identity and time.
 
     Attributes:
-        writer: the writing process; a new one each start.
-        seq: the writer's own count from 1, by which readers drop repeated appends.
-        at: the writer's clock, in Unix seconds.
+        writer: the incarnation of the writing process, which changes at every start.
+        seq: the writer's record count from 1; readers use it to drop repeated appends.
+        at: the time on the writer's clock, in Unix seconds.
         record: the record itself.
     """
 
@@ -184,11 +184,11 @@
 
 
 class ConfigRecord(_Base):
-    """One published configuration; its version is its offset plus one.
+    """A published configuration; its version is its offset plus one.
 
     Attributes:
-        toml: the whole configuration.
-        if_version: the version it was made from; None replaces any.
+        toml: the complete configuration.
+        if_version: the version it is based on; None replaces any version.
     """
 
     toml: str
@@ -198,7 +198,7 @@
 
 
 class Entry(NamedTuple):
-    """One record as read back from the log."""
+    """A record as read back from the log, with its offset."""
 
     offset: int
     envelope: Envelope
@@ -208,15 +208,19 @@
 
 
 def parse_envelope(value: Any) -> Envelope:
-    """Return the envelope of a JSON value; raises pydantic.ValidationError."""
+    """Return the envelope of a JSON value.
+
+    Raises:
+        pydantic.ValidationError: if the value is not a valid envelope.
+    """
     return _ENVELOPE.validate_python(value)
 
 
 def dump(model: BaseModel) -> dict[str, Any]:
-    """Return a record or envelope as plain JSON values, by its outside names."""
+    """Return a record or envelope as plain JSON values, under its field aliases."""
     return model.model_dump(mode="json", by_alias=True, exclude_defaults=False)
 
 
 def join_key(service: ServiceName, caller: Caller, key: str) -> str:
-    """Return the key of a request in the scope of its service and caller."""
+    """Return an idempotency key qualified by its service and caller."""
     return "\x1f".join((service, caller, key))
--- a/spoolcrank/worker.py
+++ b/spoolcrank/worker.py
@@ -1,9 +1,9 @@
-"""Define the messages between an owner and a worker, and how they go over HTTP.
+"""Define the messages between an owner and a worker, and their HTTP paths.
 
-Every command carries the owner's epoch, the worker incarnation that the owner knows and the
-owner's count of its commands. A worker refuses a lower epoch than it has accepted, a command
-meant for an earlier incarnation of itself, a command that a later one has overtaken, and a
-command that was too long on its way: a lease must not begin after its owner gave it up.
+Every command carries the owner's epoch, the worker incarnation that the owner knows and a
+sequence number. A worker refuses a command with a lower epoch than it has accepted, a command
+for an earlier incarnation of itself, a command that arrives after a later one, and a command
+that has expired in transit: a lease must not begin after its owner has given it up.
 """
 
 from typing import Any
@@ -38,7 +38,7 @@
 
 
 class EndedTask(_Message):
-    """An attempt that ended and that the owner has not acknowledged yet."""
+    """An attempt that has ended and that the owner has not acknowledged yet."""
 
     task: TaskId
     attempt: int
@@ -48,7 +48,7 @@
 
 
 class Usage(_Message):
-    """What a task really used, reported some seconds late."""
+    """The measured resource use of a task, reported with a delay of some seconds."""
 
     task: TaskId
     task_class: TaskClass
@@ -57,7 +57,7 @@
 
 
 class Report(_Message):
-    """Everything that a worker holds, and under whom."""
+    """The complete state of a worker: its attempts, their resource use and its current owner."""
 
     incarnation: Incarnation
     owner: Incarnation
@@ -69,11 +69,11 @@
 
 
 class Fence(_Message):
-    """Who commands, by which epoch, and which incarnation of the worker is meant.
+    """The fencing data of a command: its owner, epoch, sequence number and addressed incarnation.
 
-    An empty `incarnation` means any; only `adopt` may leave it so. `seq` counts the
-    owner's commands to this worker under this epoch. After `expires`, where given, by the
-    worker's own clock as its reports tell it, the command must not be obeyed any more.
+    An empty `incarnation` means any; only `adopt` may leave it empty. `seq` counts the
+    owner's commands to this worker under this epoch. If `expires` is given, the worker must not
+    carry the command out after that time on its own clock, which its reports contain.
     """
 
     owner: Incarnation
@@ -84,18 +84,18 @@
 
 
 class AttemptRef(_Message):
-    """One attempt of one task."""
+    """A reference to one attempt of one task."""
 
     task: TaskId
     attempt: int
 
 
 class Adopt(Fence):
-    """Take the worker over and have it list everything."""
+    """Take over the worker and request a full report."""
 
 
 class Renew(Fence):
-    """Renew the leases of `tasks`, forget the ended `acks`, and have all listed."""
+    """Renew the leases of `tasks`, acknowledge the ended attempts `acks` and request a report."""
 
     tasks: list[AttemptRef] = []
     acks: list[AttemptRef] = []
@@ -130,7 +130,7 @@
 
 
 class Throttle(Fence):
-    """Let an attempt run at a share of its speed."""
+    """Limit an attempt to a share of its full speed."""
 
     task: TaskId
     attempt: int
@@ -151,7 +151,7 @@
 
 
 class Refused(_Message):
-    """A worker's no: its incarnation, and the epoch and owner that it obeys."""
+    """A worker's refusal, with its incarnation and the epoch and owner that it accepts."""
 
     incarnation: Incarnation
     owner: Incarnation
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""One state machine over the decisions of several owners, and mutations that it must find."""
+"""A state machine test of several owners' decisions, and mutations that it must detect."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,13 +18,13 @@
 from spoolcrank.policy import Policy
 from tests.world import OWNERS, SERVERS, World
 
-SETTLE_S = 240.0
-TURN_S = 0.5
+RECOVERY_S = 240.0
+STEP_S = 0.5
 MAX_JOBS = 6
 owners = st.sampled_from(OWNERS)
 backends = st.sampled_from(SERVERS)
 
-STEADY = settings(
+STANDARD_SEARCH = settings(
     max_examples=80,
     stateful_step_count=25,
     derandomize=True,
@@ -33,13 +33,13 @@
     suppress_health_check=list(HealthCheck),
     phases=[Phase.generate],
 )
-HUNTING = settings(STEADY, max_examples=800)
+MUTATION_SEARCH = settings(STANDARD_SEARCH, max_examples=800)
 
 
 def make_machine(
     make_world: Callable[[], World], check_end: bool = True
 ) -> type[RuleBasedStateMachine]:
-    """Return the machine over a world; mutations come in through the world."""
+    """Return the state machine class for a world; `make_world` can supply a mutated world."""
 
     class Machine(RuleBasedStateMachine):
         def __init__(self) -> None:
@@ -121,8 +121,8 @@
             self.world.heal()
 
         @invariant()
-        def promises_hold(self) -> None:
-            self.world.advance(TURN_S)
+        def invariants_hold(self) -> None:
+            self.world.advance(STEP_S)
             breaches = self.world.breaches()
             assert breaches == [], breaches[0]
 
@@ -130,8 +130,8 @@
             if not check_end:
                 return
             self.world.heal()
-            self.world.advance(SETTLE_S)
-            self.promises_hold()
+            self.world.advance(RECOVERY_S)
+            self.invariants_hold()
             assert self.world.open_tasks() == []
 
     return Machine
@@ -143,27 +143,27 @@
 
 
 def test_promises_hold_under_random_faults() -> None:
-    run(World, STEADY)
+    run(World, STANDARD_SEARCH)
 
 
 def test_taking_out_the_fence_is_found() -> None:
     with pytest.raises(AssertionError, match="Breach"):
-        run(lambda: World(fenced=False), HUNTING, check_end=False)
+        run(lambda: World(fenced=False), MUTATION_SEARCH, check_end=False)
 
 
 def test_taking_out_the_adoption_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that believes its server empty, instead of asking, starts what runs there."""
-    own = servers.on_report
+    """An owner that assumes an empty server instead of adopting it starts running tasks again."""
+    original = servers.on_report
 
-    def forgetful(owned: Any, report: Any, *rest: Any) -> Any:
+    def without_attempts(owned: Any, report: Any, *rest: Any) -> Any:
         if owned.phase is not servers.Phase.READY:
             report = report.model_copy(update={"running": [], "ended": []})
-        return own(owned, report, *rest)
+        return original(owned, report, *rest)
 
-    monkeypatch.setattr(servers, "on_report", forgetful)
+    monkeypatch.setattr(servers, "on_report", without_attempts)
     monkeypatch.setattr(servers, "allocated", _sum_of_report_only)
     with pytest.raises(AssertionError, match="Breach"):
-        run(World, HUNTING, check_end=False)
+        run(World, MUTATION_SEARCH, check_end=False)
 
 
 def _sum_of_report_only(owned: Any, ledger: Any) -> Any:
@@ -174,19 +174,21 @@
 
 
 def test_taking_out_the_lease_margin_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    own = ownership.may_declare_lost
+    original = ownership.may_declare_lost
 
-    def hasty(members: Any, contacted: bool, since: float, policy: Policy, now: float) -> bool:
-        return own(members, contacted, since - policy.leases.margin_s, policy, now)
+    def without_margin(
+        members: Any, contacted: bool, since: float, policy: Policy, now: float
+    ) -> bool:
+        return original(members, contacted, since - policy.leases.margin_s, policy, now)
 
-    monkeypatch.setattr(ownership, "may_declare_lost", hasty)
+    monkeypatch.setattr(ownership, "may_declare_lost", without_margin)
     with pytest.raises(AssertionError, match="Breach"):
-        run(World, HUNTING, check_end=False)
+        run(World, MUTATION_SEARCH, check_end=False)
 
 
 def test_an_owner_is_preferred_by_name_alone() -> None:
     world = World()
-    held = {name: sorted(owner.core.owned) for name, owner in world.owners.items()}
-    assert sorted(name for names in held.values() for name in names) == [
+    owned = {name: sorted(owner.core.owned) for name, owner in world.owners.items()}
+    assert sorted(name for names in owned.values() for name in names) == [
         InstanceId(name) for name in SERVERS
     ]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes, and bad input of every kind."""
+"""End-to-end tests with real processes, including invalid input."""
 
 import socket
 import time
@@ -7,10 +7,10 @@
 
 from tests.scenario import Scenario, call, wait_for
 
-PLACED_BEFORE_S = 0.5
+IN_FLIGHT_START_S = 0.5
 
 
-def raw(address: str, data: bytes) -> bytes:
+def send_raw(address: str, data: bytes) -> bytes:
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(data)
@@ -50,11 +50,11 @@
         )
         call("DELETE", f"{entry.url}/jobs/{watcher}")
         wait_for(lambda: run.fleet.job("entry-b2", watcher)["state"] == "cancelled", 30, "cancel")
-        check_bad_input(entry.url, entry.listen)
+        check_invalid_input(entry.url, entry.listen)
         assert run.breaches() == []
 
 
-def check_bad_input(url: str, address: str) -> None:
+def check_invalid_input(url: str, address: str) -> None:
     cases = [
         ("POST", "/jobs", b"{", 400, "bad-json", ""),
         ("POST", "/jobs", b'{"name": "x", "tasks": -1}', 422, "bad-field", "tasks"),
@@ -74,15 +74,17 @@
     headers = {"Spoolcrank-Deadline-Ms": "-5"}
     answer = call("POST", f"{url}/services/quotes/", b"x", headers)
     assert answer.json()["field"] == "Spoolcrank-Deadline-Ms"
-    assert b" 413 " in raw(
+    assert b" 413 " in send_raw(
         address, b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999\r\n\r\n"
     )
-    assert b" 400 " in raw(
+    assert b" 400 " in send_raw(
         address, b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: abc\r\n\r\n"
     )
-    assert b" 400 " in raw(address, b"NONSENSE\r\n\r\n")
-    with socket.create_connection((address.split(":")[0], int(address.split(":")[1]))) as half:
-        half.sendall(b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{")
+    assert b" 400 " in send_raw(address, b"NONSENSE\r\n\r\n")
+    with socket.create_connection(
+        (address.split(":")[0], int(address.split(":")[1]))
+    ) as incomplete_request:
+        incomplete_request.sendall(b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{")
         assert call("GET", f"{url}/health/live").status == 200
 
 
@@ -112,11 +114,15 @@
         def versions() -> set[int]:
             return {call("GET", f"{run.entry(name).url}/config").json()["version"] for name in urls}
 
-        wait_for(lambda: versions() == {1}, 14, "the configuration is not in force everywhere")
+        wait_for(
+            lambda: versions() == {1}, 14, "configuration not in force on every entry instance"
+        )
         run.fleet.log_fault("down")
         run.entry("entry-b1").kill()
         run.fleet.restart_entry("entry-b1")
-        wait_for(lambda: run.fleet.is_ready("entry-b1"), 30, "not ready from its peers")
+        wait_for(
+            lambda: run.fleet.is_ready("entry-b1"), 30, "entry instance not ready without the log"
+        )
         assert versions() == {1}
         assert call("GET", f"{run.entry('entry-b1').url}/config").json()["toml"] == toml.decode()
 
@@ -134,8 +140,8 @@
         run.wait_ended("entry-a1")
         assert run.states("entry-a1") == ["finished", "finished"]
         runs = run.fleet.journal("backend-a1")["runs"]
-        assert all(one["start"] < seen_at + PLACED_BEFORE_S for one in runs)
-        assert any(one["how"] == "evicted" for one in runs)
+        assert all(attempt["start"] < seen_at + IN_FLIGHT_START_S for attempt in runs)
+        assert any(attempt["how"] == "evicted" for attempt in runs)
         assert run.breaches() == []
 
 
@@ -150,8 +156,10 @@
         old = run.submit("entry-a1", name="old", payload={"run_s": 0.2})
         run.wait_ended("entry-a1")
         log = f"{run.fleet.log.url}/streams/spoolcrank/records?from=0"
-        wait_for(lambda: call("GET", log).json()["first"] > 2, 40, "nothing expired")
+        wait_for(lambda: call("GET", log).json()["first"] > 2, 40, "no log record expired")
         run.entry("entry-c1").kill()
         run.fleet.restart_entry("entry-c1")
-        wait_for(lambda: run.fleet.is_ready("entry-c1"), 30, "not ready")
+        wait_for(
+            lambda: run.fleet.is_ready("entry-c1"), 30, "entry instance not ready after its restart"
+        )
         assert run.fleet.job("entry-c1", old)["state"] == "finished"
--- a/tests/test_learnt_sizes.py
+++ b/tests/test_learnt_sizes.py
@@ -1,4 +1,4 @@
-"""What tasks are allocated for what their class was seen to use."""
+"""Task sizes that are learned from the measured use of their class."""
 
 import pytest
 
@@ -13,45 +13,43 @@
 DECLARED = Resources(3.0, 1000.0, 0)
 JOBS = 30
 RUN_S = 9.0
-MOST_WAIT_S = 40.0
+MAX_WAIT_S = 40.0
 
 
 def test_work_that_uses_all_it_is_given_finds_a_place_each_time() -> None:
-    """Jobs waited for a place for good beside idle servers, after some dozen of their kind.
-
-    Seen: with half of the log's answers lost and jobs of one name coming all the while, 24 to 31
-    of 124 to 135 jobs were pending at attempt 0 30 s after the log was well again, in three of
-    three seeds, and 6 of 113 after 60 s; nothing ran on any server.
-    How it came about: their tasks ran well, and each start was allocated a tenth more than the
-    last: 18.343, 20.177, 22.195 processors on servers that have 24 for tasks. The next fitted
-    nowhere, so no report could say that less would do.
-    Cause: the size learnt of a class was its largest use and a tenth, whatever the task had been
-    allocated; one that works on all it is given so seems to want more each time.
-    Proof: this test, without the mend, leaves tasks that wait for a place on idle servers.
+    """Check that the learned size of a class does not grow until it fits on no server.
+
+    The learned size used to be the largest use plus a tenth, whatever the task was allocated, so
+    a class that uses its whole allocation grew at every start: 18.343, 20.177, 22.195 processors
+    on servers with 24 for tasks. The next size fitted nowhere, so no usage report could correct
+    it, and after some dozen jobs of the class the rest waited forever beside idle servers. With
+    half of the log's answers lost and jobs of one name arriving all the time, 24 to 31 of 124 to
+    135 jobs were pending at attempt 0 in three of three seeds 30 s after the log had recovered,
+    and 6 of 113 after 60 s; nothing ran on any server.
     """
     world = World()
     for _ in range(JOBS):
         world.submit(1, RUN_S, True)
         world.advance(RUN_S + 4.0)
-    world.advance(MOST_WAIT_S)
+    world.advance(MAX_WAIT_S)
     assert world.open_tasks() == []
 
 
-def _learn(used: float, given: float, learnt: Learnt | None = None) -> Learnt:
+def _learn(used: float, allocated: float, learnt: Learnt | None = None) -> Learnt:
     learnt = learnt or Learnt()
     usage = [Usage(task=TaskId("a.0"), task_class=CLASS, processors=used, memory_mb=500.0)]
     for _ in range(3):
-        learnt.on_usage(usage, lambda task: Resources(given, 1000.0, 0))
+        learnt.on_usage(usage, lambda task: Resources(allocated, 1000.0, 0))
     return learnt
 
 
 @pytest.mark.parametrize(
-    ("used", "given", "expected"), [(3.0, 3.0, 3.0), (2.0, 3.0, 2.2), (4.0, 3.0, 4.4)]
+    ("used", "allocated", "expected"), [(3.0, 3.0, 3.0), (2.0, 3.0, 2.2), (4.0, 3.0, 4.4)]
 )
 def test_headroom_is_given_only_where_use_leaves_some_or_is_more(
-    used: float, given: float, expected: float
+    used: float, allocated: float, expected: float
 ) -> None:
-    size = _learn(used, given).size_for(CLASS, DECLARED, DEFAULT)
+    size = _learn(used, allocated).size_for(CLASS, DECLARED, DEFAULT)
     assert size.processors == pytest.approx(expected)
 
 
@@ -64,11 +62,11 @@
 
 
 def test_what_a_peer_learnt_is_taken_as_it_is() -> None:
-    told = _learn(2.0, 3.0).tell(0.0)
-    heir = Learnt()
-    heir.hear(told, 0.0)
-    assert told.uses == [ToldUse(CLASS, pytest.approx(2.2), pytest.approx(550.0), 3)]
-    assert heir.size_for(CLASS, DECLARED, DEFAULT).processors == pytest.approx(2.2)
+    snapshot = _learn(2.0, 3.0).tell(0.0)
+    successor = Learnt()
+    successor.hear(snapshot, 0.0)
+    assert snapshot.uses == [ToldUse(CLASS, pytest.approx(2.2), pytest.approx(550.0), 3)]
+    assert successor.size_for(CLASS, DECLARED, DEFAULT).processors == pytest.approx(2.2)
 
 
 def test_a_class_that_fits_nowhere_as_learnt_is_allocated_what_it_declares() -> None:
--- a/tests/test_taken_ledger.py
+++ b/tests/test_taken_ledger.py
@@ -1,4 +1,4 @@
-"""An owner that takes a peer's ledger while records of its own are on their way."""
+"""An owner adopts a peer's ledger while some of its own records are not yet read back."""
 
 from collections.abc import Callable
 
@@ -13,24 +13,24 @@
 from tests.world import OWNERS, SERVERS, World
 
 RUN_S = 6.0
-LATE_S = 30.0
+RECOVERY_S = 30.0
 
 
-def _until(world: World, found: Callable[[], bool]) -> None:
+def _until(world: World, condition: Callable[[], bool]) -> None:
     for _ in range(200):
-        if found():
+        if condition():
             return
         world.advance(0.25)
-    raise AssertionError("not within 50 s")
+    raise AssertionError("condition not met within 50 s")
 
 
-def _unread(world: World, name: str, kind: type[AnyRecord]) -> bool:
-    """Tell whether an owner has a record of a kind on its way that it has not read back."""
-    return any(isinstance(one.record, kind) for one in world.owners[name].outbox)
+def _awaits_read_back(world: World, name: str, kind: type[AnyRecord]) -> bool:
+    """Return whether an owner has sent a record of the kind that it has not read back yet."""
+    return any(isinstance(env.record, kind) for env in world.owners[name].outbox)
 
 
-def _appended_but_answer_lost(world: World, name: str) -> None:
-    """Put an owner's records on the log, and have its reads fail until it took a peer's ledger."""
+def _append_then_load_peer_ledger(world: World, name: str) -> None:
+    """Append an owner's records, and fail its reads until it has adopted a peer's ledger."""
     world.cut.add((name, "log"))
     world._append(world.owners[name])
     world.advance(2.0)
@@ -39,78 +39,82 @@
 
 @pytest.mark.parametrize("server", SERVERS)
 def test_a_claim_that_is_first_seen_in_a_peers_ledger_is_acted_on(server: str) -> None:
-    """A server that was ours by the log had nobody to command it.
-
-    Seen: three tests of real processes had jobs that had not ended 60 s after an owner was
-    killed, paused or cut off, once each beside other load; what follows was found by reading.
-    How it came about: the heir's claim was appended, and before the heir read it back one read of
-    the log failed. An instance whose log does not answer takes the ledger of a peer that is
-    ahead, and reads on behind it; so its claim was in the ledger, never read as a record.
-    Cause: a server became its owner's only with the record of the claim. The others saw it held
-    by a process that lives, the owner saw it as its own, and nobody adopted it.
-    Proof: this test, without the mend, has tasks that stay on that server and never run.
+    """Check that an owner adopts a server if its claim arrives only through a peer's ledger.
+
+    An owner used to adopt a server only when it read the record of its own claim. If a log read
+    failed after the successor had appended its claim, the successor loaded a peer's more recent
+    ledger and continued behind it, so it never read that record. The other owners saw a live
+    owner, and no instance adopted the server, so tasks bound to it never ran. In three tests with
+    real processes, once each under other load, jobs had not ended 60 s after an owner was killed,
+    paused or partitioned; the cause was found by reading the code.
     """
     world = World()
     owner = next(name for name in OWNERS if server in world.owners[name].core.owned)
     world.submit(2, RUN_S, True)
     world.advance(1.0)
     world.crash(owner)
-    heirs = [name for name in OWNERS if name != owner]
-    _until(world, lambda: any(_unread(world, name, Claimed) for name in heirs))
-    heir = next(name for name in heirs if _unread(world, name, Claimed))
-    _appended_but_answer_lost(world, heir)
+    successors = [name for name in OWNERS if name != owner]
+    _until(world, lambda: any(_awaits_read_back(world, name, Claimed) for name in successors))
+    successor = next(name for name in successors if _awaits_read_back(world, name, Claimed))
+    _append_then_load_peer_ledger(world, successor)
     world.submit(2, RUN_S, True)
-    world.advance(LATE_S)
-    assert {one for name in heirs for one in world.owners[name].core.owned} == set(SERVERS)
+    world.advance(RECOVERY_S)
+    assert {server_id for name in successors for server_id in world.owners[name].core.owned} == set(
+        SERVERS
+    )
     assert world.open_tasks() == []
     assert world.breaches() == []
 
 
 def test_a_placement_that_is_first_seen_in_a_peers_ledger_keeps_no_room() -> None:
-    """Room of a server counted as taken for good, and a task that came back was not placed there.
+    """Check that a placement that a peer's ledger already contains no longer takes capacity.
 
-    Seen: by reading only, for the same reason as above.
-    Cause: a placement counted as on its way until its own record was read, also where a peer's
-    ledger had it already.
-    Proof: this test, without the mend.
+    A placement used to count as pending until its own record was read, even if a peer's ledger
+    already contained it. The capacity then stayed taken permanently, and a task that became
+    pending again was not placed there. This fault was found only by reading the code.
     """
     world = World()
     world.submit(1, RUN_S, True)
-    _until(world, lambda: any(_unread(world, name, Placed) for name in OWNERS))
-    owner = next(name for name in OWNERS if _unread(world, name, Placed))
-    _appended_but_answer_lost(world, owner)
-    world.advance(LATE_S)
+    _until(world, lambda: any(_awaits_read_back(world, name, Placed) for name in OWNERS))
+    owner = next(name for name in OWNERS if _awaits_read_back(world, name, Placed))
+    _append_then_load_peer_ledger(world, owner)
+    world.advance(RECOVERY_S)
     assert world.open_tasks() == []
-    assert [one.placing for one in world.owners[owner].core.owned.values() if one.placing] == []
+    assert [
+        owned.placing for owned in world.owners[owner].core.owned.values() if owned.placing
+    ] == []
 
 
 def test_a_placement_that_is_still_on_its_way_keeps_its_room() -> None:
     world = World()
     world.submit(1, RUN_S, True)
-    _until(world, lambda: any(_unread(world, name, Placed) for name in OWNERS))
-    owner = next(name for name in OWNERS if _unread(world, name, Placed))
+    _until(world, lambda: any(_awaits_read_back(world, name, Placed) for name in OWNERS))
+    owner = next(name for name in OWNERS if _awaits_read_back(world, name, Placed))
     world.cut.add((owner, "log"))
     offset = world.owners[owner].core.ledger.offset
     world.submit(1, RUN_S, True)
     _until(world, lambda: world.owners[owner].core.ledger.offset > offset)
-    assert any(one.placing for one in world.owners[owner].core.owned.values())
+    assert any(owned.placing for owned in world.owners[owner].core.owned.values())
     world.cut.clear()
-    world.advance(LATE_S)
+    world.advance(RECOVERY_S)
     assert world.open_tasks() == []
     assert world.breaches() == []
 
 
 def test_a_placement_that_was_not_appended_keeps_no_room_and_is_made_again() -> None:
-    """Found by reading, after the same leak above: a full queue to the log took no record."""
+    """Check that a record rejected by a full log queue leaves no capacity taken.
+
+    This leak, like the one above, was found by reading the code.
+    """
     world = World()
     world.submit(1, RUN_S, True)
-    _until(world, lambda: any(_unread(world, name, Placed) for name in OWNERS))
-    owner = world.owners[next(name for name in OWNERS if _unread(world, name, Placed))]
-    (lost,) = [one for one in owner.outbox if isinstance(one.record, Placed)]
+    _until(world, lambda: any(_awaits_read_back(world, name, Placed) for name in OWNERS))
+    owner = world.owners[next(name for name in OWNERS if _awaits_read_back(world, name, Placed))]
+    (lost,) = [env for env in owner.outbox if isinstance(env.record, Placed)]
     owner.outbox.remove(lost)
     decisions.on_not_appended(owner.core, lost.record)
-    assert not any(one.placing for one in owner.core.owned.values())
-    world.advance(LATE_S)
+    assert not any(owned.placing for owned in owner.core.owned.values())
+    world.advance(RECOVERY_S)
     assert world.open_tasks() == []
     assert world.breaches() == []
 
@@ -121,8 +125,8 @@
     core = world.owners[name].core
     server = next(iter(core.owned))
     now = world.now + world.owners[name].skew_s
-    heir = next(other for other in OWNERS if other != name)
-    tenure.hand_over(core, server, InstanceId(heir), now)
+    successor = next(other for other in OWNERS if other != name)
+    tenure.hand_over(core, server, InstanceId(successor), now)
     ledger = load(dump(core.ledger))
     decisions.replace_ledger(core, ledger, now)
     assert server not in core.owned
--- a/tests/test_waiting_counts.py
+++ b/tests/test_waiting_counts.py
@@ -1,19 +1,19 @@
-"""Number of waiting jobs as reported by an instance whose copy of the log lags behind."""
+"""The count of waiting jobs at an instance whose copy of the log is behind."""
 
 from spoolcrank.errors import ErrorKind
 from tests.fleet_world import ROUTE, Instance, Step, World
 
-ONE = Step(count=1, millicores=1000, memory_mb=100, estimate_ms=600)
+STEP = Step(count=1, millicores=1000, memory_mb=100, estimate_ms=600)
 JOBS = 10
-OLD_S = 5.0
-"""Age from which accepted jobs must be included in the count, seconds."""
+MIN_COUNTED_AGE_S = 5.0
+"""The age from which an accepted job must be included in the count, seconds."""
 
-ANSWER_S = 2.0
-"""Time within which a query gets a count or an error, seconds."""
+QUERY_TIMEOUT_S = 2.0
+"""The time within which a query gets an answer or an error, seconds."""
 
 
-def _behind() -> tuple[World, Instance]:
-    """Return a fleet without runners, and the instance whose log reads a test may delay."""
+def _fleet_with_late_instance() -> tuple[World, Instance]:
+    """Return a fleet without runners and an instance whose copy of the log can be made late."""
     world = World(1)
     for number in range(3):
         world.add_instance(f"entry-{number}")
@@ -24,30 +24,30 @@
 
 
 def _count(world: World, instance: Instance) -> int | ErrorKind:
-    answers: list[int | ErrorKind] = []
-    instance.intake.waiting(ROUTE, answers.append)
-    world.run(ANSWER_S)
-    assert len(answers) == 1
-    return answers[0]
+    results: list[int | ErrorKind] = []
+    instance.intake.waiting(ROUTE, results.append)
+    world.run(QUERY_TIMEOUT_S)
+    assert len(results) == 1
+    return results[0]
 
 
 def _submit_jobs(world: World) -> None:
     for number in range(JOBS):
-        world.instances["entry-0"].submit(f"{number:04x}", ONE)
-    world.run(OLD_S)
+        world.instances["entry-0"].submit(f"{number:04x}", STEP)
+    world.run(MIN_COUNTED_AGE_S)
 
 
-def test_a_count_from_a_lagging_copy_is_not_reported() -> None:
-    """With late log reads, an instance reported 4 waiting jobs where 16 had waited for 5 s."""
-    world, late = _behind()
-    world.store.slow_reads_s[late.name] = 2 * OLD_S
+def test_a_count_from_a_copy_that_is_behind_is_not_told() -> None:
+    """An instance with late reads counted four jobs when sixteen had waited for five seconds."""
+    world, late = _fleet_with_late_instance()
+    world.store.slow_reads_s[late.name] = 2 * MIN_COUNTED_AGE_S
     _submit_jobs(world)
     assert _count(world, late) is ErrorKind.LOG_UNAVAILABLE
 
 
-def test_an_instance_that_still_loads_the_log_reports_no_count() -> None:
-    """After a power loss of all instances, one reported no waiting jobs where 99 waited."""
-    world, _ = _behind()
+def test_a_count_is_not_told_by_an_instance_that_still_loads_the_log() -> None:
+    """An instance counted no jobs when 99 waited, just after all instances had lost power."""
+    world, _ = _fleet_with_late_instance()
     _submit_jobs(world)
     world.store.turned_away.add("entry-3")
     fresh = world.add_instance("entry-3")
@@ -57,16 +57,16 @@
     assert _count(world, fresh) == JOBS
 
 
-def test_a_count_from_a_slightly_old_copy_is_reported_after_one_more_read() -> None:
-    world, late = _behind()
+def test_a_count_from_a_copy_a_little_old_is_told_after_one_more_read() -> None:
+    world, late = _fleet_with_late_instance()
     _submit_jobs(world)
-    late.follower.copy.read_at = world.now - OLD_S
+    late.follower.copy.read_at = world.now - MIN_COUNTED_AGE_S
     assert _count(world, late) == JOBS
 
 
-def test_a_count_from_a_current_copy_is_reported_at_once() -> None:
-    world, late = _behind()
+def test_a_count_from_a_copy_that_is_new_is_told_at_once() -> None:
+    world, late = _fleet_with_late_instance()
     _submit_jobs(world)
-    answers: list[int | ErrorKind] = []
-    late.intake.waiting(ROUTE, answers.append)
-    assert answers == [JOBS]
+    results: list[int | ErrorKind] = []
+    late.intake.waiting(ROUTE, results.append)
+    assert results == [JOBS]
