--- a/spoolcrank/_dialer.py
+++ b/spoolcrank/_dialer.py
@@ -1,7 +1,7 @@
-"""Own the outgoing TCP connections of a process.
+"""Open and serve the outgoing TCP connections of a process.
 
-circuits' own TCPClient is one component for each connection and polls while it connects;
-this component holds many sockets and waits for writability instead.
+The TCPClient of circuits needs one component for each connection and polls while it connects. The
+Dialer owns many sockets and waits until a connecting socket becomes writable instead.
 """
 
 import errno
@@ -14,51 +14,52 @@
 
 from spoolcrank.ids import Address
 
-UNACKNOWLEDGED_MS = 3000
-"""A connection whose bytes the other side does not acknowledge for so long is closed, ms: peers
-write several times a second and read nothing back on it, so only this shows them that it fell
-silent. Six times the
-queueing at which the platform calls a link choked."""
+ACK_TIMEOUT_MS = 3000
+"""Time without an acknowledgement of sent bytes before a connection is closed, in milliseconds.
 
-_READ_SIZE = 65536
-_IN_PROGRESS = (0, errno.EINPROGRESS, errno.EWOULDBLOCK)
+Peers write several times a second on a connection and read nothing from it, so only this timeout
+shows them that the other side is silent. It is six times the queueing delay at which the platform
+calls a link choked."""
 
+_READ_BYTES = 65536
+_CONNECT_STARTED = (0, errno.EINPROGRESS, errno.EWOULDBLOCK)
 
-class Wire(Protocol):
-    """What a connection's user is told about it."""
+
+class ConnectionObserver(Protocol):
+    """Callbacks that report the events of a connection to the code that opened it."""
 
     def on_connected(self) -> None:
-        """Learn that bytes can flow now."""
+        """Handle the completed connect; bytes can be sent from now on."""
 
     def on_data(self, data: bytes) -> None:
-        """Take bytes that arrived."""
+        """Handle received bytes."""
 
     def on_closed(self, reason: str) -> None:
-        """Learn that the connection is gone, or never came to be."""
+        """Handle a lost connection or a failed connect; `close` does not call this."""
 
 
 class Connection:
-    """One outgoing connection, as its user holds it."""
+    """Outgoing connection, as seen by the code that opened it."""
 
-    def __init__(self, owner: "Dialer", sock: socket.socket, wire: Wire) -> None:
+    def __init__(self, owner: "Dialer", sock: socket.socket, observer: ConnectionObserver) -> None:
         self._owner = owner
         self.sock = sock
-        self.wire = wire
+        self.observer = observer
         self.connected = False
         self.closed = False
         self.unsent: deque[bytes] = deque()
 
     def write(self, data: bytes) -> None:
-        """Send bytes, as soon as the connection stands."""
+        """Send bytes, once the connection is established."""
         self._owner.enqueue(self, data)
 
     def close(self) -> None:
-        """Drop the connection; its wire is not told."""
+        """Close the connection at once without notifying its observer."""
         self._owner.drop(self)
 
 
 class Dialer(BaseComponent):
-    """Open connections and move their bytes."""
+    """Component that opens connections, sends their bytes and reports what they receive."""
 
     channel = "dialer"
 
@@ -67,24 +68,27 @@
         self._poller = poller
         self._conns: dict[socket.socket, Connection] = {}
 
-    def dial(self, address: Address, wire: Wire) -> Connection:
-        """Start to connect to `IP:PORT`; the wire is told what comes of it."""
+    def dial(self, address: Address, observer: ConnectionObserver) -> Connection:
+        """Start to connect to `IP:PORT`; the observer is notified of the result.
+
+        A connect that fails at once is reported before this method returns.
+        """
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-        conn = Connection(self, sock, wire)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS)
+        conn = Connection(self, sock, observer)
         self._conns[sock] = conn
         error = sock.connect_ex((host, int(port)))
-        if error not in _IN_PROGRESS:
+        if error not in _CONNECT_STARTED:
             self._fail(conn, errno.errorcode.get(error, str(error)))
         else:
             self._poller.addWriter(self, sock)
         return conn
 
     def enqueue(self, conn: Connection, data: bytes) -> None:
-        """Add bytes to what a connection has to send."""
+        """Send bytes on a connection, or queue them until its socket is writable."""
         if conn.closed:
             return
         if conn.connected and not conn.unsent:
@@ -96,7 +100,7 @@
             self._poller.addWriter(self, conn.sock)
 
     def drop(self, conn: Connection) -> None:
-        """Close a connection at once."""
+        """Close a connection at once without notifying its observer; unsent bytes are lost."""
         if conn.closed:
             return
         conn.closed = True
@@ -109,7 +113,7 @@
         if conn.closed:
             return
         self.drop(conn)
-        conn.wire.on_closed(reason)
+        conn.observer.on_closed(reason)
 
     def _send(self, conn: Connection, data: bytes) -> bytes:
         try:
@@ -127,16 +131,16 @@
         if conn is None or not conn.connected:
             return
         try:
-            data = sock.recv(_READ_SIZE)
+            data = sock.recv(_READ_BYTES)
         except BlockingIOError:
             return
         except OSError as exc:
             self._fail(conn, str(exc))
             return
         if data:
-            conn.wire.on_data(data)
+            conn.observer.on_data(data)
         else:
-            self._fail(conn, "closed by the other side")
+            self._fail(conn, "connection closed by the other side")
 
     @handler("_write")
     def _on_write(self, sock: socket.socket) -> None:
@@ -146,9 +150,9 @@
         if not conn.connected and not self._finish_connect(conn):
             return
         while conn.unsent and not conn.closed:
-            rest = self._send(conn, conn.unsent.popleft())
-            if rest:
-                conn.unsent.appendleft(rest)
+            remainder = self._send(conn, conn.unsent.popleft())
+            if remainder:
+                conn.unsent.appendleft(remainder)
                 return
         if not conn.closed and self._poller.isWriting(sock):
             self._poller.removeWriter(sock)
@@ -160,7 +164,7 @@
             return False
         conn.connected = True
         self._poller.addReader(self, conn.sock)
-        conn.wire.on_connected()
+        conn.observer.on_connected()
         return not conn.closed
 
     @handler("_disconnect", "_error")
--- a/spoolcrank/_http.py
+++ b/spoolcrank/_http.py
@@ -1,7 +1,7 @@
-"""Send HTTP requests from a circuits loop and tell truly whether they went out.
+"""Send HTTP requests from a circuits loop and report whether they may have reached the server.
 
-One request at a time uses a connection; a connection with any doubt on it is closed and
-never used again, so an answer cannot reach the wrong request.
+A connection carries one request at a time. If its state is uncertain, for example after a timeout,
+it is closed and never used again, so an answer cannot reach the wrong request.
 """
 
 import time
@@ -16,12 +16,12 @@
 from spoolcrank._timers import Timer, Timers
 from spoolcrank.ids import Address
 
-_IDLE_PER_ADDRESS = 64
-_PARSE_RESPONSE = 1
+_MAX_IDLE_PER_ADDRESS = 64
+_PARSER_KIND_RESPONSE = 1
 
 
 class Failed(Enum):
-    """Why a call got no answer."""
+    """Reason why a call got no valid answer."""
 
     NOT_SENT = "not-sent"
     CUT = "cut"
@@ -30,23 +30,24 @@
 
 
 class HttpCall(NamedTuple):
-    """One request to send.
+    """Request to send.
 
     Attributes:
-        address: `IP:PORT`.
-        method: upper case.
-        path: with the query.
-        headers: sent as they are, with Host and Content-Length added.
-        body: as sent.
-        timeout_s: for the whole call, or until its answer begins where `quiet_s` is given.
-        quiet_s: a large answer over a slow link may take any time, as long as no pause in it is
-            longer than this; None where the whole call has to end within `timeout_s`.
-        again_s: a call that may be carried out twice without harm is sent once more, over a new
-            connection, when a kept one has said nothing for so long; None for never. Kept
+        address: `IP:PORT` of the server.
+        method: HTTP method in upper case.
+        path: path with the query.
+        headers: headers that are sent unchanged, with Host and Content-Length added.
+        body: body to send.
+        timeout_s: time limit for the whole call, or until its answer begins if `max_pause_s` is
+            set.
+        max_pause_s: longest pause within the answer, so that a large answer over a slow link may
+            take any total time; None if the whole call has to end within `timeout_s`.
+        resend_after_s: time after which a call that may safely run twice is sent again over a new
+            connection, if a reused one has received nothing; None to never resend it. Idle
             connections may have gone silent without a reset while new ones work.
-        peer: name of the process that is meant, where it matters which one is at the address.
-        to_others: sent in place of `body` over a connection of which it is not known that `peer` is
-            at its other end; None where `body` may go to any.
+        peer: name of the intended process, if it matters which one listens at the address.
+        body_for_unknown_peer: body that is sent instead of `body` unless `peer` is known to be at
+            the other end of the connection; None if any process may receive `body`.
     """
 
     address: Address
@@ -62,22 +63,23 @@
 
 
 @dataclass
-class Peer:
-    """Who is at the other end of one connection, as far as answers told; empty if none did."""
+class PeerIdentity:
+    """Name of the process at the other end of a connection; empty until an answer has named it."""
 
     name: str = ""
 
 
 class HttpResult(NamedTuple):
-    """What became of a call.
+    """Result of a call.
 
     Attributes:
-        failed: None when a whole answer arrived.
-        status: HTTP status, 0 when failed.
-        headers: by lower-case names.
-        body: the whole body.
+        failed: reason of a failure; None if a complete answer arrived.
+        status: HTTP status; 0 after a failure.
+        headers: headers of the answer by lower-case name.
+        body: complete body of the answer.
         sent: whether any byte may have reached the other side.
-        peer: of the connection that it came over; whoever reads its name in an answer notes it.
+        peer: identity of the process at the other end of the connection; code that finds its name
+            in an answer stores it there.
     """
 
     failed: Failed | None
@@ -85,11 +87,11 @@
     headers: Mapping[str, str] = {}
     body: bytes = b""
     sent: bool = True
-    peer: Peer | None = None
+    peer: PeerIdentity | None = None
 
     @property
     def ok(self) -> bool:
-        """Tell whether a whole answer with a 2xx status arrived."""
+        """Return whether a complete answer with a 2xx status arrived."""
         return self.failed is None and 200 <= self.status < 300
 
 
@@ -97,28 +99,28 @@
 
 
 class _Exchange:
-    """One connection and the call that it serves at the moment."""
+    """One connection with the call that is in flight on it, if any."""
 
     def __init__(self, pool: "HttpClient", address: Address) -> None:
         self._pool = pool
         self.address = address
         self.call: HttpCall | None = None
-        self._done: Done | None = None
-        self._parser = HttpParser(_PARSE_RESPONSE, False)
+        self._on_done: Done | None = None
+        self._parser = HttpParser(_PARSER_KIND_RESPONSE, False)
         self._timer: Timer | None = None
         self._sent = False
-        self._begun_at = 0.0
+        self._started_at = 0.0
         self.answered_at: float | None = None
-        self.heard = False
-        self.peer = Peer()
+        self.answer_started = False
+        self.peer = PeerIdentity()
         self.conn: Connection | None = None
 
     def start(self, call: HttpCall, done: Done) -> None:
         self.call = call
-        self._done = done
-        self._begun_at = time.monotonic()
-        self.heard = False
-        self._parser = HttpParser(_PARSE_RESPONSE, False)
+        self._on_done = done
+        self._started_at = time.monotonic()
+        self.answer_started = False
+        self._parser = HttpParser(_PARSER_KIND_RESPONSE, False)
         self._sent = False
         self._timer = self._pool.timers.after(call.timeout_s, self._on_timeout)
         if self.conn is not None and self.conn.connected:
@@ -136,19 +138,19 @@
     def on_data(self, data: bytes) -> None:
         if self.call is None:
             self._close()
-            self._pool.forget(self)
+            self._pool.remove_idle(self)
             return
-        self.heard = True
+        self.answer_started = True
         if self.call.quiet_s is not None and self._timer is not None:
             self._timer.cancel()
             self._timer = self._pool.timers.after(self.call.quiet_s, self._on_timeout)
         self._parser.execute(data, len(data))
         if self._parser.errno is not None:
             self._finish(HttpResult(Failed.GARBLED), keep=False)
-        elif self._whole():
+        elif self._is_complete():
             self._deliver()
 
-    def _whole(self) -> bool:
+    def _is_complete(self) -> bool:
         parser = self._parser
         if not parser.is_headers_complete():
             return False
@@ -167,32 +169,32 @@
 
     def on_closed(self, reason: str) -> None:
         self.conn = None
-        self._pool.forget(self)
+        self._pool.remove_idle(self)
         if self.call is not None:
             failed = Failed.CUT if self._sent else Failed.NOT_SENT
             self._finish(HttpResult(failed, sent=self._sent), keep=False)
 
     def _on_timeout(self) -> None:
         failed = Failed.TIMED_OUT if self._sent else Failed.NOT_SENT
-        if self._sent and not self.heard:
-            self._pool.drop_unproven(self.address, self._begun_at)
+        if self._sent and not self.answer_started:
+            self._pool.close_idle_without_answer(self.address, self._started_at)
         self._finish(HttpResult(failed, sent=self._sent), keep=False)
 
-    def give_up(self) -> None:
-        """End the call without an answer."""
+    def abort(self) -> None:
+        """End the call as timed out."""
         self._finish(HttpResult(Failed.TIMED_OUT, sent=self._sent), keep=False)
 
     def close(self) -> None:
-        """Close the connection, on which no call is."""
+        """Close the connection; no call may be in flight on it."""
         self._close()
 
     def _finish(self, result: HttpResult, keep: bool) -> None:
-        done, self._done, self.call = self._done, None, None
+        done, self._on_done, self.call = self._on_done, None, None
         if self._timer is not None:
             self._timer.cancel()
         if keep and self.conn is not None:
             self.answered_at = time.monotonic()
-            self._pool.give_back(self)
+            self._pool.release(self)
         else:
             self._close()
         if done is not None:
@@ -204,56 +206,56 @@
             self.conn = None
 
 
-class _SentTwice:
-    """One call that may be sent over a second connection; the first whole answer counts."""
+class _HedgedCall:
+    """Call that may be resent over a second connection; the first complete answer is used."""
 
     def __init__(self, pool: "HttpClient", call: HttpCall, again_s: float, done: Done) -> None:
         self._pool = pool
         self._call = call
-        self._done: Done | None = done
-        self._began_at = time.monotonic()
+        self._on_done: Done | None = done
+        self._call_started_at = time.monotonic()
         self._sent = False
         self._second: _Exchange | None = None
-        self._timer = pool.timers.after(again_s, lambda: self._again(again_s))
-        # Its connect may fail at once, and tell so before it returns.
-        self._first = pool.take(call.address, call.peer)
-        pool.start(self._first, call, lambda got: self._on_result(self._first, got))
+        self._timer = pool.timers.after(again_s, lambda: self._resend(again_s))
+        # The connect may fail at once, and then reports its result before this call returns.
+        self._first = pool.acquire(call.address, call.peer)
+        pool.start(self._first, call, lambda result: self._on_result(self._first, result))
 
-    def _again(self, after_s: float) -> None:
+    def _resend(self, after_s: float) -> None:
         first = self._first
-        if self._done is None or first.heard or first.answered_at is None:
+        if self._on_done is None or first.answer_started or first.answered_at is None:
             return
         left_s = max(0.0, self._call.timeout_s - after_s)
         call = self._call._replace(timeout_s=left_s)
         second = self._second = _Exchange(self._pool, call.address)
-        self._pool.start(second, call, lambda got: self._on_result(second, got))
+        self._pool.start(second, call, lambda result: self._on_result(second, result))
 
-    def _on_result(self, exchange: _Exchange, got: HttpResult) -> None:
-        done = self._done
+    def _on_result(self, exchange: _Exchange, result: HttpResult) -> None:
+        done = self._on_done
         if done is None:
             return
-        self._sent = self._sent or got.sent
+        self._sent = self._sent or result.sent
         other = self._second if exchange is self._first else self._first
-        waits = other is not None and other.call is not None
-        if got.failed is not None and waits:
+        other_in_flight = other is not None and other.call is not None
+        if result.failed is not None and other_in_flight:
             return
-        self._done = None
+        self._on_done = None
         self._timer.cancel()
-        if other is not None and waits:
+        if other is not None and other_in_flight:
             if other is self._first:
-                self._pool.drop_unproven(other.address, self._began_at)
-            other.give_up()
-        done(got if got.failed is None else got._replace(sent=self._sent))
+                self._pool.close_idle_without_answer(other.address, self._call_started_at)
+            other.abort()
+        done(result if result.failed is None else result._replace(sent=self._sent))
 
-    def give_up(self) -> None:
-        """End the call without an answer."""
+    def abort(self) -> None:
+        """End the call as timed out, on both connections."""
         for exchange in (self._first, self._second):
             if exchange is not None and exchange.call is not None:
-                exchange.give_up()
+                exchange.abort()
 
 
 class HttpClient:
-    """Send calls over pooled connections."""
+    """Client that sends calls over pooled connections."""
 
     def __init__(self, dialer: Dialer, timers: Timers) -> None:
         self._dialer = dialer
@@ -261,49 +263,49 @@
         self._idle: dict[Address, list[_Exchange]] = {}
 
     def send(self, call: HttpCall, done: Done) -> Callable[[], None]:
-        """Send a call; `done` is told once. Returns a way to give the call up."""
+        """Send a call, whose result `done` gets once, and return a function that aborts it."""
         if call.again_s is not None:
-            return _SentTwice(self, call, call.again_s, done).give_up
-        exchange = self.begin(call, done)
+            return _HedgedCall(self, call, call.again_s, done).abort
+        exchange = self.send_pooled(call, done)
 
-        def give_up() -> None:
+        def abort() -> None:
             if exchange.call is call:
-                exchange.give_up()
+                exchange.abort()
 
-        return give_up
+        return abort
 
-    def begin(self, call: HttpCall, done: Done) -> _Exchange:
-        """Send a call over a kept connection, or over a new one where none is kept."""
-        exchange = self.take(call.address, call.peer)
+    def send_pooled(self, call: HttpCall, done: Done) -> _Exchange:
+        """Send a call over an idle connection, or over a new one if none is idle."""
+        exchange = self.acquire(call.address, call.peer)
         self.start(exchange, call, done)
         return exchange
 
-    def take(self, address: Address, peer: str = "") -> _Exchange:
-        """Return a kept connection that is idle, known to be to `peer` if any, or a new one."""
+    def acquire(self, address: Address, peer: str = "") -> _Exchange:
+        """Return an idle connection, preferably one known to lead to `peer`, or a new one."""
         idle = self._idle.get(address)
         if not idle:
             return _Exchange(self, address)
-        known = [one for one in idle if one.peer.name == peer]
-        exchange = known[-1] if known else idle[-1]
+        matching = [candidate for candidate in idle if candidate.peer.name == peer]
+        exchange = matching[-1] if matching else idle[-1]
         idle.remove(exchange)
         return exchange
 
     def start(self, exchange: _Exchange, call: HttpCall, done: Done) -> None:
-        """Send a call over one connection, opened if it is new."""
+        """Send a call over a connection, opening it first if it is new."""
         exchange.start(call, done)
         if exchange.conn is not None:
             return
         try:
             exchange.conn = self._dialer.dial(call.address, exchange)
         except (OSError, ValueError, OverflowError) as exc:
-            # No address, or no descriptor left: whoever waits for the answer must be told.
+            # The address is invalid or no file descriptor is left: the caller must get a result.
             exchange.on_closed(str(exc))
 
-    def drop_unproven(self, address: Address, since: float) -> None:
-        """Close the kept connections to an address that have answered nothing since a time.
+    def close_idle_without_answer(self, address: Address, since: float) -> None:
+        """Close the idle connections to an address that received no answer since a given time.
 
-        One of them has been silent since then; others may be silent too, and each would cost
-        one more call its whole time.
+        One connection has been silent since then. Others may be silent too, and each of them would
+        make one more call wait for its full timeout.
         """
         for exchange in self._idle.pop(address, []):
             if exchange.answered_at is not None and exchange.answered_at >= since:
@@ -311,24 +313,24 @@
             else:
                 exchange.close()
 
-    def give_back(self, exchange: _Exchange) -> None:
-        """Keep a clean connection for the next call."""
+    def release(self, exchange: _Exchange) -> None:
+        """Return a connection to the pool; it is closed if the pool for its address is full."""
         idle = self._idle.setdefault(exchange.address, [])
-        if len(idle) < _IDLE_PER_ADDRESS:
+        if len(idle) < _MAX_IDLE_PER_ADDRESS:
             idle.append(exchange)
         else:
             exchange._close()
 
-    def forget(self, exchange: _Exchange) -> None:
-        """Stop keeping a connection that closed while idle."""
+    def remove_idle(self, exchange: _Exchange) -> None:
+        """Remove a connection from the pool, if it is there, because it was closed."""
         idle = self._idle.get(exchange.address, [])
         if exchange in idle:
             idle.remove(exchange)
 
 
-def _render(call: HttpCall, peer: Peer) -> bytes:
-    known = call.to_others is None or call.peer == peer.name
-    body = call.body if known else call.to_others or b""
+def _render(call: HttpCall, peer: PeerIdentity) -> bytes:
+    peer_accepted = call.to_others is None or call.peer == peer.name
+    body = call.body if peer_accepted else call.to_others or b""
     lines = [f"{call.method} {call.path} HTTP/1.1", f"Host: {call.address}"]
     lines += [f"{name}: {value}" for name, value in call.headers.items()]
     lines.append(f"Content-Length: {len(body)}")
--- a/spoolcrank/_runtime.py
+++ b/spoolcrank/_runtime.py
@@ -1,4 +1,4 @@
-"""Assemble the parts that every daemon shares: loop, poller, timers, client, ready line."""
+"""Assemble what every daemon shares: event loop, poller, timers, HTTP client and ready line."""
 
 import json
 import os
@@ -13,18 +13,18 @@
 from spoolcrank._dialer import Dialer
 from spoolcrank._http import HttpClient
 from spoolcrank._timers import Timers
-from spoolcrank._web import Answerer, WebServer
+from spoolcrank._web import RequestHandler, WebServer
 from spoolcrank.ids import Address
 
-_POLL_STOP_S = 0.02
+_LOOP_STOP_DELAY_S = 0.02
 
 
 class posted(Event):
-    """An action handed to the loop from another thread."""
+    """Action that another thread passes to the loop: `(action: Callable[[], None],)`."""
 
 
 class Runtime(BaseComponent):
-    """One process' loop with its sockets and timers."""
+    """Event loop of a process with its sockets and timers."""
 
     channel = "runtime"
 
@@ -38,7 +38,7 @@
         self._stopping = False
         self._ended = threading.Event()
 
-    def serve(self, listen: Address, answer: Answerer, channel: str = "web") -> WebServer:
+    def serve(self, listen: Address, answer: RequestHandler, channel: str = "web") -> WebServer:
         """Listen on `IP:PORT` for HTTP; each address of a process has its own channel."""
         web: WebServer = WebServer(split_address(listen), answer, self.timers, channel).register(
             self
@@ -46,7 +46,7 @@
         return web
 
     def on_stop(self, stop: Callable[[Callable[[], None]], None]) -> None:
-        """Set what is done at a planned stop before the loop ends."""
+        """Set the action of a planned stop; the loop ends once it calls its argument."""
         self._stop = stop
 
     @handler("signal", channel="*", priority=100)
@@ -54,7 +54,7 @@
         self.begin_stop()
 
     def post(self, action: Callable[[], None]) -> None:
-        """Run an action in the loop; may be called from any thread."""
+        """Run an action in the loop; this method may be called from any thread."""
         self.fire(posted(action))
 
     @handler("posted")
@@ -62,14 +62,14 @@
         action()
 
     def begin_stop(self) -> None:
-        """Start a planned stop."""
+        """Start a planned stop; later calls have no effect."""
         if self._stopping:
             return
         self._stopping = True
         self._stop(self._finish)
 
     def _finish(self) -> None:
-        self.timers.after(_POLL_STOP_S, self.stop)
+        self.timers.after(_LOOP_STOP_DELAY_S, self.stop)
 
     def run_here(self) -> None:
         """Run the loop until a planned stop has finished."""
@@ -79,7 +79,7 @@
             self._ended.set()
 
     def run_in_thread(self) -> Callable[[], None]:
-        """Run the loop in a thread; returns a way to stop it and wait."""
+        """Run the loop in a thread; return a function that stops it and waits up to 20 s."""
         threading.Thread(target=self.run_here, daemon=True).start()
 
         def stop() -> None:
@@ -90,18 +90,18 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP address and port of `IP:PORT`."""
+    """Split `IP:PORT` into IP address and port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def address_of_url(url: str) -> Address:
-    """Return `IP:PORT` of an http URL or of a bare address."""
+    """Return `IP:PORT` of an http URL or of an address without a scheme."""
     return Address(url.removeprefix("http://").split("/")[0])
 
 
 def print_ready(**fields: Any) -> None:
-    """Print the one JSON line that says the process answers."""
+    """Print the JSON line that announces that the process is ready to answer."""
     line = {"ready": True, "pid": os.getpid(), **fields}
     sys.stdout.write(json.dumps(line) + "\n")
     sys.stdout.flush()
--- a/spoolcrank/_timers.py
+++ b/spoolcrank/_timers.py
@@ -1,4 +1,4 @@
-"""Run actions at later times inside a circuits loop."""
+"""Run actions at later times inside a circuits event loop."""
 
 import heapq
 import itertools
@@ -9,7 +9,7 @@
 
 
 class Timer:
-    """One action that is due at a time of the monotonic clock."""
+    """Action that is due at a time of the monotonic clock."""
 
     __slots__ = ("action", "at")
 
@@ -18,12 +18,12 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """Drop the action."""
+        """Discard the action, so that it does not run any more."""
         self.action = None
 
 
 class Timers(BaseComponent):
-    """Own a heap of timers; one such component serves a whole process."""
+    """Component that runs the timers of a process, which it keeps in a heap."""
 
     channel = "timers"
 
@@ -39,16 +39,17 @@
         return timer
 
     def every(self, period_s: float, action: Callable[[], None]) -> None:
-        """Run `action` again and again, `period_s` seconds after each start.
+        """Run `action` repeatedly, `period_s` seconds after each start.
 
-        An action that raises ends nothing but itself: circuits reports it.
+        The next run is scheduled first, so an action that raises does not end the repetition;
+        circuits reports the exception.
         """
 
-        def again() -> None:
-            self.after(period_s, again)
+        def run_and_reschedule() -> None:
+            self.after(period_s, run_and_reschedule)
             action()
 
-        self.after(period_s, again)
+        self.after(period_s, run_and_reschedule)
 
     @handler("generate_events", channel="*", priority=2)
     def _on_generate_events(self, event: Event) -> None:
@@ -57,7 +58,7 @@
             _, _, timer = heapq.heappop(self._heap)
             if timer.action is not None:
                 timer.action()
-            # An action may have fired events; the poller must not sleep over them.
+            # An action may have fired events; the poller must not sleep before they are handled.
             event.reduce_time_left(0)
         if self._heap:
             event.reduce_time_left(max(0.0, self._heap[0][0] - now))
--- a/spoolcrank/_web.py
+++ b/spoolcrank/_web.py
@@ -1,7 +1,7 @@
-"""Serve HTTP through circuits.web behind one plain function.
+"""Serve HTTP through circuits.web and pass each request to one function.
 
-A daemon gives a function that takes a request and a way to reply; the reply may come at
-any later time. Bounds on sizes and on half-sent requests are kept here.
+A daemon provides a function that gets a request and a reply callback, which it may call at any
+later time. This module enforces limits on the size of requests and on the time they take to arrive.
 """
 
 import json
@@ -18,28 +18,28 @@
 from circuits.web.wrappers import Request, Response
 
 from spoolcrank._timers import Timers
-from spoolcrank._web_sockets import Accepted, WebSockets
+from spoolcrank._web_sockets import AcceptResult, WebSockets
 from spoolcrank.errors import ANSWERS, ErrorKind, Refusal
 
-MAX_BODY = 1 << 20
-MAX_HEAD = 16 << 10
-HALF_SENT_S = 10.0
-_SWEEP_S = 1.0
+MAX_BODY_BYTES = 1 << 20
+MAX_HEAD_BYTES = 16 << 10
+PARTIAL_REQUEST_TIMEOUT_S = 10.0
+_PARTIAL_REQUEST_CHECK_S = 1.0
 _LENGTH_MAX_DIGITS = 12
 JSON_TYPE = "application/json"
 
 
 class HttpRequest(NamedTuple):
-    """One request that arrived whole.
+    """Request that arrived completely.
 
     Attributes:
-        method: upper case.
-        path: without the query.
-        query: the last value of each name.
-        raw_query: the query as it was sent.
-        headers: by lower-case names.
-        body: as sent.
-        peer: IP address of the other side.
+        method: HTTP method in upper case.
+        path: path without the query.
+        query: last value of each name in the query.
+        raw_query: query as it was sent.
+        headers: headers by lower-case name.
+        body: body as it was sent.
+        peer: IP address of the client.
     """
 
     method: str
@@ -52,7 +52,7 @@
 
 
 class HttpReply(NamedTuple):
-    """One answer: status, headers, body."""
+    """Status, headers and body of the answer to one request."""
 
     status: int
     headers: Mapping[str, str]
@@ -60,11 +60,11 @@
 
 
 class Unsent(NamedTuple):
-    """One answer that the kernel did not take whole yet.
+    """Answer that is not yet completely passed to the kernel.
 
     Attributes:
-        method, path: of the request.
-        read_at: when its first bytes were read, s of the monotonic clock.
+        method, path: method and path of the request.
+        read_at: time at which its first bytes were read, in seconds of the monotonic clock.
     """
 
     method: str
@@ -73,7 +73,7 @@
 
 
 Reply = Callable[[HttpReply], None]
-Answerer = Callable[[HttpRequest, Reply], None]
+RequestHandler = Callable[[HttpRequest, Reply], None]
 
 
 def json_reply(status: int, value: Any, headers: Mapping[str, str] | None = None) -> HttpReply:
@@ -83,7 +83,7 @@
 
 
 def refusal_reply(refusal: Refusal, headers: Mapping[str, str] | None = None) -> HttpReply:
-    """Return the answer for an error of ours, by the table of kinds."""
+    """Return the answer for a refusal, according to the table of error kinds."""
     answer = ANSWERS[refusal.kind]
     merged = {
         "Spoolcrank-Outcome": answer.header,
@@ -106,129 +106,143 @@
 
 
 class _Incoming:
-    """What has arrived on a connection since its last answer."""
+    """Data that arrived on a connection since its last answer.
 
-    __slots__ = ("busy", "head", "held", "since", "size")
+    Attributes:
+        size: number of bytes that arrived.
+        head: request line and headers, as far as they arrived.
+        since: time at which the first bytes were read, in seconds of the monotonic clock.
+        busy: whether a complete request waits for its answer.
+        pipelined: blocks that arrived behind that request.
+    """
+
+    __slots__ = ("busy", "head", "pipelined", "since", "size")
 
     def __init__(self, now: float) -> None:
         self.size = 0
         self.head = b""
         self.since = now
         self.busy = False
-        self.held: list[bytes] = []
+        self.pipelined: list[bytes] = []
 
 
 class WebServer(BaseComponent):
-    """Listen on one address and answer by a function."""
+    """HTTP server of one address that answers requests by a function."""
 
     channel = "web"
     secure = False
 
     def __init__(
-        self, bind: tuple[str, int], answer: Answerer, timers: Timers, channel: str = "web"
+        self, bind: tuple[str, int], answer: RequestHandler, timers: Timers, channel: str = "web"
     ) -> None:
         super().__init__(channel=channel)
         self._answer = answer
         self._timers = timers
         self._incoming: dict[socket.socket, _Incoming] = {}
         self._sending: dict[socket.socket, Unsent] = {}
-        self._closes = False
+        self._close_after_answers = False
         self.server: WebSockets = WebSockets(bind, self.channel).register(self)
         self.http = HTTP(self, channel=self.channel).register(self)
-        timers.every(_SWEEP_S, self._sweep)
+        timers.every(_PARTIAL_REQUEST_CHECK_S, self._refuse_stalled_requests)
 
     @property
     def host(self) -> str:
-        """Return the bound IP address."""
+        """Return the IP address to which the listener is bound."""
         return str(self.server.host)
 
     @property
     def port(self) -> int:
-        """Return the bound port."""
+        """Return the port to which the listener is bound; 0 if there is none."""
         return int(self.server.port or 0)
 
     @property
     def unanswered(self) -> int:
-        """Return how many requests read whole have answers not yet given to the kernel."""
-        return sum(1 for seen in self._incoming.values() if seen.busy) + len(self._sending)
+        """Return how many complete requests have answers not yet passed to the kernel."""
+        return sum(1 for incoming in self._incoming.values() if incoming.busy) + len(self._sending)
 
     @property
     def unsent(self) -> list[Unsent]:
-        """Return the answers that the kernel did not take whole yet."""
+        """Return the answers that are not yet completely passed to the kernel."""
         return list(self._sending.values())
 
     @property
     def connections(self) -> int:
-        """Return how many connections stand."""
+        """Return how many connections are open."""
         return len(self.server.connections)
 
     @property
     def half_sent(self) -> int:
-        """Return on how many connections a part of a request has come."""
-        return sum(1 for seen in self._incoming.values() if seen.size and not seen.busy)
+        """Return how many connections hold a partly received request."""
+        return sum(1 for incoming in self._incoming.values() if incoming.size and not incoming.busy)
 
     def close_after_answers(self) -> None:
-        """Close each connection with its next answer, so that callers go elsewhere."""
-        self._closes = True
+        """Close each connection with its next answer, so that clients go to other instances."""
+        self._close_after_answers = True
 
-    def stop_listening(self) -> Accepted:
-        """Take no new connection; those that stand, or wait to be accepted, are served on."""
+    def stop_listening(self) -> AcceptResult:
+        """Close the listener; connections that are open or pending are still served."""
         return self.server.stop_listening()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request, nor a part of one, was read."""
+        """Close the connections that hold no request, not even a partly received one."""
         for sock in self.server.connections:
-            seen = self._incoming.get(sock)
-            if not self._has_work(sock) and (seen is None or not seen.size):
-                self.server.close_unless_bytes_wait(sock)
+            incoming = self._incoming.get(sock)
+            if not self._has_work(sock) and (incoming is None or not incoming.size):
+                self.server.close_if_nothing_arrived(sock)
 
     def stop_reading(self) -> None:
-        """Read nothing more; what was read whole is answered."""
+        """Stop reading; requests that were read completely are still answered."""
         self.server.stop_reading()
 
     def close_unanswerable(self) -> None:
-        """After the end of reading, close the connections whose request can't come whole any more.
+        """Close, after `stop_reading`, the connections whose request can't be completed any more.
 
-        A closed one would be reset at the end of the process too; its client knows that nothing of
-        the request was taken, as it was not sent whole or not read.
+        The end of the process would reset them too. Their clients know that the request was not
+        accepted, because it was not sent completely or not read.
         """
         for sock in self.server.connections:
             if not self._has_work(sock):
                 self.server.close(sock)
 
     def _has_work(self, sock: socket.socket) -> bool:
-        seen = self._incoming.get(sock)
-        busy = seen is not None and seen.busy
+        incoming = self._incoming.get(sock)
+        busy = incoming is not None and incoming.busy
         return busy or sock in self._sending or sock in self.server.unhandled
 
     @handler("read", priority=10)
     def _on_read(self, event: Event, sock: socket.socket, data: bytes) -> None:
-        self.server.handled(sock)
-        seen = self._incoming.setdefault(sock, _Incoming(time.monotonic()))
-        if seen.busy:
+        self.server.mark_handled(sock)
+        incoming = self._incoming.setdefault(sock, _Incoming(time.monotonic()))
+        if incoming.busy:
             event.stop()
-            seen.held.append(data)
+            incoming.pipelined.append(data)
             return
-        if seen.size == 0:
-            seen.since = time.monotonic()
-        seen.size += len(data)
-        refusal = self._check(seen, data)
+        if incoming.size == 0:
+            incoming.since = time.monotonic()
+        incoming.size += len(data)
+        refusal = self._check(incoming, data)
         if refusal is not None:
             event.stop()
             self._refuse_raw(sock, refusal)
 
-    def _check(self, seen: _Incoming, data: bytes) -> Refusal | None:
-        if seen.size > MAX_BODY + MAX_HEAD:
-            return Refusal(ErrorKind.TOO_LARGE, f"a body may have {MAX_BODY} bytes", "body")
-        if b"\r\n\r\n" in seen.head:
+    def _check(self, incoming: _Incoming, data: bytes) -> Refusal | None:
+        if incoming.size > MAX_BODY_BYTES + MAX_HEAD_BYTES:
+            return Refusal(
+                ErrorKind.TOO_LARGE, f"the body may have at most {MAX_BODY_BYTES} bytes", "body"
+            )
+        if b"\r\n\r\n" in incoming.head:
             return None
-        seen.head += data
-        end = seen.head.find(b"\r\n\r\n")
+        incoming.head += data
+        end = incoming.head.find(b"\r\n\r\n")
         if end < 0:
-            if len(seen.head) > MAX_HEAD:
-                return Refusal(ErrorKind.TOO_LARGE, f"headers may have {MAX_HEAD} bytes", "headers")
+            if len(incoming.head) > MAX_HEAD_BYTES:
+                return Refusal(
+                    ErrorKind.TOO_LARGE,
+                    f"the headers may have at most {MAX_HEAD_BYTES} bytes",
+                    "headers",
+                )
             return None
-        return _check_head(seen.head[:end])
+        return _check_head(incoming.head[:end])
 
     def _refuse_raw(self, sock: socket.socket, refusal: Refusal) -> None:
         reply = refusal_reply(refusal, {"Connection": "close"})
@@ -244,8 +258,8 @@
     def _on_request(self, event: Event, req: Request, res: Response) -> bool:
         event.stop()
         sock = req.sock
-        seen = self._incoming.setdefault(sock, _Incoming(time.monotonic()))
-        seen.busy = True
+        incoming = self._incoming.setdefault(sock, _Incoming(time.monotonic()))
+        incoming.busy = True
         answered = False
 
         def reply(answer: HttpReply) -> None:
@@ -255,7 +269,7 @@
             answered = True
             self._send(sock, res, answer)
 
-        plain = HttpRequest(
+        http_request = HttpRequest(
             method=req.method,
             path=req.path,
             query=dict(parse_qsl(req.qs)),
@@ -264,29 +278,29 @@
             peer=str(req.remote.ip),
             raw_query=req.qs,
         )
-        self._answer(plain, reply)
+        self._answer(http_request, reply)
         return True
 
     def _send(self, sock: socket.socket, res: Response, answer: HttpReply) -> None:
-        seen = self._incoming.get(sock)
-        if seen is None:
+        incoming = self._incoming.get(sock)
+        if incoming is None:
             return
         res.status = answer.status
-        # What came behind this request was read too: it is answered before the close.
-        if self._closes and not seen.held:
+        # Requests pipelined behind this one were read too: answer them before closing.
+        if self._close_after_answers and not incoming.pipelined:
             res.close = True
         for name, value in answer.headers.items():
             res.headers[name] = value
         res.body = answer.body
-        self._sending[sock] = Unsent(res.request.method, res.request.path, seen.since)
+        self._sending[sock] = Unsent(res.request.method, res.request.path, incoming.since)
         self.fire(response(res))
-        seen.busy = False
-        seen.size = 0
-        seen.head = b""
-        held, seen.held = seen.held, []
-        if held:
+        incoming.busy = False
+        incoming.size = 0
+        incoming.head = b""
+        pipelined, incoming.pipelined = incoming.pipelined, []
+        if pipelined:
             self.server.unhandled[sock] += 1
-            self.fire(Event.create("read", sock, b"".join(held)))
+            self.fire(Event.create("read", sock, b"".join(pipelined)))
 
     @handler("httperror", priority=1)
     def _on_httperror(self, event: Event, req: Request, res: Response, code: int, **_: Any) -> None:
@@ -296,10 +310,10 @@
         refusal = Refusal(kind, f"the request could not be read (HTTP {code})")
         answer = refusal_reply(refusal)
         event.stop()
-        seen = self._incoming.get(req.sock)
-        if seen is not None:
-            seen.busy = False
-            self._sending[req.sock] = Unsent(req.method or "", req.path or "", seen.since)
+        incoming = self._incoming.get(req.sock)
+        if incoming is not None:
+            incoming.busy = False
+            self._sending[req.sock] = Unsent(req.method or "", req.path or "", incoming.since)
         for name, value in answer.headers.items():
             res.headers[name] = value
         res.status = answer.status
@@ -309,11 +323,12 @@
 
     @handler("_write")
     def _on_written(self, sock: socket.socket) -> None:
-        """Take note of an answer whose last bytes the kernel took; the server has just sent some.
+        """Record the end of an answer once the kernel has accepted its last bytes.
 
-        The events that fill a connection's buffer are all handled before the first of these.
+        The server has just sent bytes. All events that fill a connection's buffer are handled
+        before the first event of this kind.
         """
-        if not self.server.holds_unsent(sock):
+        if not self.server.has_unsent_bytes(sock):
             self._sending.pop(sock, None)
 
     @handler("disconnect")
@@ -329,14 +344,20 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @handler("closed", "error")
-    def _on_other(self, *args: object) -> None:
-        """Take events that need nothing done."""
+    def _on_ignored(self, *args: object) -> None:
+        """Handle the events of the server that need no action."""
 
-    def _sweep(self) -> None:
+    def _refuse_stalled_requests(self) -> None:
         now = time.monotonic()
-        for sock, seen in list(self._incoming.items()):
-            if seen.size and not seen.busy and now - seen.since > HALF_SENT_S:
-                refusal = Refusal(ErrorKind.BAD_REQUEST, "the request did not arrive whole in time")
+        for sock, incoming in list(self._incoming.items()):
+            if (
+                incoming.size
+                and not incoming.busy
+                and now - incoming.since > PARTIAL_REQUEST_TIMEOUT_S
+            ):
+                refusal = Refusal(
+                    ErrorKind.BAD_REQUEST, "the request did not arrive completely in time"
+                )
                 self._refuse_raw(sock, refusal)
 
 
@@ -356,6 +377,10 @@
     length = lengths.pop()
     if not length.isdigit() or len(length) > _LENGTH_MAX_DIGITS:
         return Refusal(ErrorKind.BAD_REQUEST, "the body's length is not a number", "content-length")
-    if int(length) > MAX_BODY:
-        return Refusal(ErrorKind.TOO_LARGE, f"a body may have {MAX_BODY} bytes", "content-length")
+    if int(length) > MAX_BODY_BYTES:
+        return Refusal(
+            ErrorKind.TOO_LARGE,
+            f"the body may have at most {MAX_BODY_BYTES} bytes",
+            "content-length",
+        )
     return None
--- a/spoolcrank/_web_sockets.py
+++ b/spoolcrank/_web_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets under one HTTP server, and what is known of bytes on their way."""
+"""Provide the sockets of an HTTP server and keep track of bytes that are not handled yet."""
 
 import socket
 from collections import Counter
@@ -8,23 +8,24 @@
 from circuits.net.sockets import TCPServer
 
 
-class Accepted(NamedTuple):
-    """What the end of a listener found waiting.
+class AcceptResult(NamedTuple):
+    """Result of accepting the pending connections of a listener before it closes.
 
     Attributes:
-        taken: connections that waited and were accepted.
-        failed: why no more could be accepted; empty where none was left.
+        accepted: number of pending connections that were accepted.
+        failure: error that prevented accepting more; empty if none was left.
     """
 
-    taken: int
-    failed: str = ""
+    accepted: int
+    failure: str = ""
 
 
 class WebSockets(TCPServer):
-    """A listener and its connections.
+    """Listener with its connections.
 
     Attributes:
-        unhandled: blocks that were read from each connection and are still in the loop's queue.
+        unhandled: number of blocks, by connection, that were read and whose events are still in the
+            loop's queue.
     """
 
     def __init__(self, bind: tuple[str, int], channel: str) -> None:
@@ -33,17 +34,17 @@
 
     @property
     def connections(self) -> list[socket.socket]:
-        """Return the connections that stand."""
+        """Return the open connections."""
         return list(self._clients)
 
-    def handled(self, sock: socket.socket) -> None:
-        """Take note that one block left the queue."""
+    def mark_handled(self, sock: socket.socket) -> None:
+        """Record that the event of one block was taken from the loop's queue."""
         self.unhandled[sock] -= 1
         if self.unhandled[sock] <= 0:
             del self.unhandled[sock]
 
     def _read(self, sock: socket.socket) -> None:
-        """Read one block; replaces the library's, which does not tell what waits in the queue."""
+        """Read one block and count it; the method of circuits does not track queued blocks."""
         if sock not in self._clients:
             return
         try:
@@ -60,10 +61,10 @@
         else:
             self.close(sock)
 
-    def stop_listening(self) -> Accepted:
-        """Accept what waits and close the listener, which would reset whatever still waited."""
+    def stop_listening(self) -> AcceptResult:
+        """Accept the pending connections, which closing the listener would reset, and close it."""
         count = 0
-        failed = ""
+        failure = ""
         while True:
             try:
                 waiting, _ = self._sock.accept()
@@ -72,27 +73,27 @@
             except ConnectionAbortedError:
                 continue
             except OSError as exc:
-                failed = str(exc)
+                failure = str(exc)
                 break
             self._on_accept_done(waiting)
             count += 1
         self._poller.discard(self._sock)
         self._sock.close()
-        return Accepted(count, failed)
+        return AcceptResult(count, failure)
 
     def stop_reading(self) -> None:
-        """Read nothing more; what was read is handled and answers are sent on."""
+        """Stop reading; bytes already read are still handled, and answers are still sent."""
         for sock in self._clients:
             self._poller.removeReader(sock)
 
-    def holds_unsent(self, sock: socket.socket) -> bool:
-        """Tell whether bytes for a connection were not yet given to the kernel."""
+    def has_unsent_bytes(self, sock: socket.socket) -> bool:
+        """Return whether bytes of a connection are not yet passed to the kernel."""
         return bool(self._buffers.get(sock))
 
-    def close_unless_bytes_wait(self, sock: socket.socket) -> None:
-        """Close a connection on which nothing has come; what has just come is read instead.
+    def close_if_nothing_arrived(self, sock: socket.socket) -> None:
+        """Close a connection unless bytes have arrived on it; read these instead.
 
-        To close with unread bytes would reset the connection.
+        Closing a connection that has unread bytes would reset it.
         """
         self._read(sock)
         if not self.unhandled[sock]:
--- a/spoolcrank/_wire.py
+++ b/spoolcrank/_wire.py
@@ -1,4 +1,4 @@
-"""Turn messages between entry instances into thrift frames and back."""
+"""Encode messages between entry instances as thrift frames, and decode them."""
 
 import struct
 from pathlib import Path
@@ -28,15 +28,15 @@
     _Protocol = TBinaryProtocol
     _Buffer = TMemoryBuffer
 
-_T: Any = thriftpy2.load(
+_SCHEMA: Any = thriftpy2.load(
     str(Path(__file__).with_name("peer.thrift")), module_name="spoolcrank_peer_thrift"
 )
-_LENGTH = struct.Struct("!I")
-_MAX_FRAME = 64 << 20
+_LENGTH_PREFIX = struct.Struct("!I")
+_MAX_FRAME_BYTES = 64 << 20
 
 
 class Forward(NamedTuple):
-    """A caller's request on its way to the owner of a runner."""
+    """Caller's request that is forwarded to the owner of a runner."""
 
     request: RequestId
     service: ServiceName
@@ -50,7 +50,7 @@
 
 
 class Forwarded(NamedTuple):
-    """What the owner of a runner made of a forwarded request; no error means an answer."""
+    """Outcome of a forwarded request at the owner of a runner; `error` is None for an answer."""
 
     request: RequestId
     error: ErrorKind | None
@@ -63,7 +63,7 @@
 
 
 class HandoverNote(NamedTuple):
-    """A server that its owner gives to the receiver."""
+    """Handover of a server from its owner to the receiver of the message."""
 
     server: InstanceId
     epoch: Epoch
@@ -71,7 +71,7 @@
 
 
 class Query(NamedTuple):
-    """A question to a peer."""
+    """Question to a peer: `number` is repeated in its answer, `what` names the subject."""
 
     number: int
     what: str
@@ -79,7 +79,7 @@
 
 
 class Answer(NamedTuple):
-    """A peer's answer to a question, as JSON text."""
+    """Peer's answer to the query with the same number, as JSON text."""
 
     number: int
     text: str
@@ -89,63 +89,67 @@
 
 
 class Frame(NamedTuple):
-    """One message and who sent it."""
+    """One message with the instance that sent it."""
 
     sender: InstanceId
     message: Message
 
 
 def encode(sender: InstanceId, message: Message) -> bytes:
-    """Return a message as a frame with its length in front."""
-    envelope = _T.Envelope(sender=sender)
+    """Return a message as a frame, prefixed with its length."""
+    envelope = _SCHEMA.Envelope(sender=sender)
     match message:
         case Heartbeat():
             envelope.heartbeat = _from_heartbeat(message)
         case Forward():
             fields = message._asdict()
             fields["service_name"] = fields.pop("service")
-            envelope.forward = _T.Forward(**fields)
+            envelope.forward = _SCHEMA.Forward(**fields)
         case Forwarded():
             fields = message._asdict()
             fields["error"] = message.error.value if message.error else ""
-            envelope.forwarded = _T.Forwarded(**fields)
+            envelope.forwarded = _SCHEMA.Forwarded(**fields)
         case HandoverNote():
-            envelope.handover = _T.Handover(**message._asdict())
+            envelope.handover = _SCHEMA.Handover(**message._asdict())
         case Query():
-            envelope.query = _T.Query(**message._asdict())
+            envelope.query = _SCHEMA.Query(**message._asdict())
         case Answer():
-            envelope.answer = _T.Answer(**message._asdict())
+            envelope.answer = _SCHEMA.Answer(**message._asdict())
     buffer = _Buffer()
     _Protocol(buffer).write_struct(envelope)
     raw: bytes = buffer.getvalue()
-    return _LENGTH.pack(len(raw)) + raw
+    return _LENGTH_PREFIX.pack(len(raw)) + raw
 
 
-def _from_heartbeat(beat: Heartbeat) -> Any:
-    fields = beat._asdict()
+def _from_heartbeat(heartbeat_message: Heartbeat) -> Any:
+    fields = heartbeat_message._asdict()
     fields["servers"] = [
-        _T.Server(
-            server=one.server,
-            epoch=one.epoch,
-            free_slots=one.free_slots,
-            processors=one.free.processors,
-            memory_mb=one.free.memory_mb,
-            accelerators=one.free.accelerators,
-            ready=one.ready,
-            latency_s=one.latency_s,
+        _SCHEMA.Server(
+            server=server_status.server,
+            epoch=server_status.epoch,
+            free_slots=server_status.free_slots,
+            processors=server_status.free.processors,
+            memory_mb=server_status.free.memory_mb,
+            accelerators=server_status.free.accelerators,
+            ready=server_status.ready,
+            latency_s=server_status.latency_s,
         )
-        for one in beat.servers
+        for server_status in heartbeat_message.servers
     ]
-    fields["echoes"] = [_T.Echo(**echo._asdict()) for echo in beat.echoes]
-    return _T.Heartbeat(**fields)
+    fields["echoes"] = [_SCHEMA.Echo(**echo._asdict()) for echo in heartbeat_message.echoes]
+    return _SCHEMA.Heartbeat(**fields)
 
 
 def decode(raw: bytes) -> Frame:
-    """Return the message of a frame without its length; raises WireError."""
-    envelope = _T.Envelope()
+    """Return the sender and message of a frame without its length prefix.
+
+    Raises:
+        WireError: if the frame cannot be decoded.
+    """
+    envelope = _SCHEMA.Envelope()
     try:
         _Protocol(_Buffer(raw)).read_struct(envelope)
-        return Frame(InstanceId(envelope.sender), _message(envelope))
+        return Frame(InstanceId(envelope.sender), _parse_message(envelope))
     except WireError:
         raise
     except Exception as exc:
@@ -156,7 +160,7 @@
     return WireError(Refusal(ErrorKind.BAD_REQUEST, f"unreadable frame: {detail}"))
 
 
-def _message(envelope: Any) -> Message:
+def _parse_message(envelope: Any) -> Message:
     if envelope.heartbeat is not None:
         return _to_heartbeat(envelope.heartbeat)
     if envelope.forward is not None:
@@ -164,13 +168,17 @@
     if envelope.forwarded is not None:
         return _to_forwarded(envelope.forwarded)
     if envelope.handover is not None:
-        note = envelope.handover
-        return HandoverNote(InstanceId(note.server), Epoch(note.epoch), note.busy)
+        handover_message = envelope.handover
+        return HandoverNote(
+            InstanceId(handover_message.server),
+            Epoch(handover_message.epoch),
+            handover_message.busy,
+        )
     if envelope.query is not None:
         return Query(envelope.query.number, envelope.query.what, envelope.query.text)
     if envelope.answer is not None:
         return Answer(envelope.answer.number, envelope.answer.text)
-    raise _unreadable("no message in it")
+    raise _unreadable("the envelope holds no message")
 
 
 def _to_heartbeat(raw: Any) -> Heartbeat:
@@ -187,18 +195,18 @@
         log_ok=raw.log_ok,
         servers=tuple(
             ServerStatus(
-                InstanceId(one.server),
-                Epoch(one.epoch),
-                one.free_slots,
-                Resources(one.processors, one.memory_mb, one.accelerators),
-                one.ready,
-                one.latency_s,
+                InstanceId(server.server),
+                Epoch(server.epoch),
+                server.free_slots,
+                Resources(server.processors, server.memory_mb, server.accelerators),
+                server.ready,
+                server.latency_s,
             )
-            for one in raw.servers or []
+            for server in raw.servers or []
         ),
         echoes=tuple(
-            Echo(InstanceId(one.instance), Incarnation(one.incarnation), one.sent_at, one.age_s)
-            for one in raw.echoes or []
+            Echo(InstanceId(echo.instance), Incarnation(echo.incarnation), echo.sent_at, echo.age_s)
+            for echo in raw.echoes or []
         ),
     )
 
@@ -237,22 +245,26 @@
 
 
 class FrameReader:
-    """Cut a stream of bytes into frames."""
+    """Split a stream of bytes into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Return the frames that are whole now; raises WireError."""
+        """Add received bytes and return the frames that are now complete.
+
+        Raises:
+            WireError: if a frame is too long or cannot be decoded.
+        """
         self._buffer += data
         frames = []
-        while len(self._buffer) >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(self._buffer)
-            if length > _MAX_FRAME:
-                raise _unreadable("too long")
-            end = _LENGTH.size + length
+        while len(self._buffer) >= _LENGTH_PREFIX.size:
+            (length,) = _LENGTH_PREFIX.unpack_from(self._buffer)
+            if length > _MAX_FRAME_BYTES:
+                raise _unreadable("the frame is longer than 64 MiB")
+            end = _LENGTH_PREFIX.size + length
             if len(self._buffer) < end:
                 break
-            frames.append(decode(bytes(self._buffer[_LENGTH.size : end])))
+            frames.append(decode(bytes(self._buffer[_LENGTH_PREFIX.size : end])))
             del self._buffer[:end]
         return frames
--- a/spoolcrank/entry.py
+++ b/spoolcrank/entry.py
@@ -1,4 +1,4 @@
-"""Assemble the daemon of an entry instance and stop it without cutting anything."""
+"""Assemble the daemon of an entry instance and stop it without aborting requests in flight."""
 
 import time
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 from spoolcrank.trace import Recorder
 from spoolcrank.worker_link import WorkerLink
 
-_FLUSH_S = 1.0
-_DRAIN_CHECK_S = 0.05
-_LAST_REQUESTS_S = 0.5
-_LONGEST_STOP_S = 20.0
+_METRICS_FLUSH_INTERVAL_S = 1.0
+_DRAIN_CHECK_INTERVAL_S = 0.05
+_LAST_REQUESTS_GRACE_S = 0.5
+_MAX_DRAIN_S = 20.0
 
 
 class Entry:
-    """One entry instance: its parts, and what it does at a planned stop."""
+    """Daemon of one entry instance: its components, HTTP routes and planned stop."""
 
     def __init__(self, runtime: Runtime, settings: EntrySettings) -> None:
         self._runtime = runtime
@@ -64,16 +64,18 @@
         self.operators = Operators(
             self.controller, self.jobs, self.callers.decisions, timers, self.metrics
         )
-        watch = InstanceWatch(http, timers, address_of_url(settings.instances), self.metrics)
-        watch.register(runtime)
+        instance_poller = InstanceWatch(
+            http, timers, address_of_url(settings.instances), self.metrics
+        )
+        instance_poller.register(runtime)
         self.web = runtime.serve(settings.listen, self.answer)
         runtime.on_stop(self.stop)
-        timers.every(_FLUSH_S, self.metrics.flush)
-        watch.begin()
+        timers.every(_METRICS_FLUSH_INTERVAL_S, self.metrics.flush)
+        instance_poller.begin()
         self.log_link.begin()
 
     def answer(self, req: HttpRequest, reply: Reply) -> None:
-        """Answer one HTTP request."""
+        """Route one HTTP request by its path."""
         if req.path.startswith("/services/"):
             self.callers.serve(req, reply)
         elif req.path == "/jobs" or req.path.startswith("/jobs/"):
@@ -85,13 +87,13 @@
         elif req.path == "/health/live":
             reply(json_reply(200, {"live": True}))
         elif req.path == "/health/ready":
-            self._ready(reply)
+            self._answer_ready(reply)
         elif req.path == "/metrics":
             reply(json_reply(200, self.metrics.snapshot()))
         else:
             reply(respond_not_found(req.path))
 
-    def _ready(self, reply: Reply) -> None:
+    def _answer_ready(self, reply: Reply) -> None:
         reason = self.controller.not_ready_reason()
         if reason:
             refusal = Refusal(ErrorKind.NOT_READY, f"this instance {reason}", retry_after_s=1.0)
@@ -100,32 +102,35 @@
             reply(json_reply(200, {"ready": True}))
 
     def stop(self, finish: Callable[[], None]) -> None:
-        """Stop as planned: not ready, hand over, finish what is in flight, end."""
+        """Report not ready, hand over the owned servers, finish requests in flight, call `finish`.
+
+        Connections are accepted for `linger_s` more, each closed with its next answer.
+        """
         logs.log("stop.begun", instance=self._settings.instance_id)
         self.controller.hand_over_all()
         self.web.close_after_answers()
-        self._runtime.timers.after(self._settings.linger_s, lambda: self._close(finish))
+        self._runtime.timers.after(self._settings.linger_s, lambda: self._drain(finish))
 
-    def _close(self, finish: Callable[[], None]) -> None:
+    def _drain(self, finish: Callable[[], None]) -> None:
         self.web.stop_listening()
         self.callers.closing = True
-        began = time.monotonic()
+        drain_started_at = time.monotonic()
 
-        def check() -> None:
-            # A request that came on an idle connection after the last look would be thrown away.
+        def check_drained() -> None:
+            # A request that arrived on an idle connection since the last check would be lost.
             self.web.close_idle()
-            busy = self.callers.under_way or self.log_link.unsent or self.web.connections
-            if busy and time.monotonic() - began < _LONGEST_STOP_S:
-                self._runtime.timers.after(_DRAIN_CHECK_S, check)
+            busy = self.callers.under_way or self.log_link.pending_count or self.web.connections
+            if busy and time.monotonic() - drain_started_at < _MAX_DRAIN_S:
+                self._runtime.timers.after(_DRAIN_CHECK_INTERVAL_S, check_drained)
                 return
             logs.log("stop.done", instance=self._settings.instance_id, busy=bool(busy))
             finish()
 
-        self._runtime.timers.after(_LAST_REQUESTS_S, check)
+        self._runtime.timers.after(_LAST_REQUESTS_GRACE_S, check_drained)
 
 
 def run(settings: EntrySettings) -> None:
-    """Run an entry instance as a process."""
+    """Run an entry instance in this process until it is stopped."""
     logs.write_to(settings.log_file)
     runtime = Runtime()
     entry = Entry(runtime, settings)
--- a/spoolcrank/instance_stop.py
+++ b/spoolcrank/instance_stop.py
@@ -1,4 +1,4 @@
-"""Carry a planned stop of an instance out: state by state, until nothing read is unanswered."""
+"""Carry out a planned stop of an instance, state by state, until each read request is answered."""
 
 from collections.abc import Callable
 
@@ -6,23 +6,23 @@
 from spoolcrank._web import WebServer
 from spoolcrank.job_intake import JobIntake
 from spoolcrank.open_requests import OpenRequests, given_up, tell_given_up
-from spoolcrank.planned_stop import Standing, StopState, StopTimes, next_state
+from spoolcrank.planned_stop import RemainingWork, StopState, StopTimes, next_state
 from spoolcrank.telemetry import Telemetry
 
-CHECK_S = 0.05
-"""Between two looks at what a stop waits for, s; a sixth of its shortest state."""
+CHECK_INTERVAL_S = 0.05
+"""Time between two checks of what a stop waits for, in seconds: a sixth of its shortest state."""
 
 
 class InstanceStop:
-    """One planned stop.
+    """One planned stop of an instance.
 
     Attributes:
-        times: when its states end at the latest.
-        web: the address of the clients.
-        intake: what passes their wishes to the store.
-        asked: their requests without an answer.
-        give_up: answers those that wait for the store.
-        leads: tells whether the leadership is not given up yet.
+        times: latest end of each state.
+        web: server of the address that clients use.
+        intake: passes the clients' jobs, queries and cancellations to the store.
+        open_requests: requests that have no answer yet.
+        give_up: answers the requests that wait for the store; returns their number.
+        is_leader: returns whether the instance has not given up leadership yet.
         finish: ends the process.
     """
 
@@ -31,9 +31,9 @@
         times: StopTimes,
         web: WebServer,
         intake: JobIntake,
-        asked: OpenRequests,
+        open_requests: OpenRequests,
         give_up: Callable[[], int],
-        leads: Callable[[], bool],
+        is_leader: Callable[[], bool],
         finish: Callable[[], None],
         timers: Timers,
         telemetry: Telemetry,
@@ -42,33 +42,33 @@
         self._times = times
         self._web = web
         self._intake = intake
-        self._asked = asked
+        self._open_requests = open_requests
         self._give_up = give_up
-        self._leads = leads
+        self._is_leader = is_leader
         self._finish = finish
         self._timers = timers
         self._telemetry = telemetry
         self._clock = clock
-        self._begun_at = clock()
+        self._started_at = clock()
         self._state = StopState.SERVING
 
     def begin(self) -> None:
-        """Close connections with their answers from now on, and look at each state's end."""
+        """Start the stop: close each connection with its next answer and check states regularly."""
         self._web.close_after_answers()
-        self._tell("stopping")
+        self._log("stopping")
         self._check()
 
     def _check(self) -> None:
         if self._state is not StopState.ENDED:
-            # Set first: a look that fails must not be the last one.
-            self._timers.after(CHECK_S, self._check)
-        since_s = self._clock() - self._begun_at
+            # Schedule the next check first, so that an exception in this one does not end them.
+            self._timers.after(CHECK_INTERVAL_S, self._check)
+        since_s = self._clock() - self._started_at
         if self._state is StopState.REFUSING and since_s >= self._times.idle_end_s:
             self._web.close_idle()
         elif self._state is StopState.SENDING:
             self._web.close_unanswerable()
-        standing = Standing(self._web.connections, self._leads())
-        state = next_state(self._state, self._times, since_s, standing)
+        remaining = RemainingWork(self._web.connections, self._is_leader())
+        state = next_state(self._state, self._times, since_s, remaining)
         if state is not self._state:
             self._state = state
             self._enter(state)
@@ -76,30 +76,30 @@
     def _enter(self, state: StopState) -> None:
         if state is StopState.REFUSING:
             self._intake.end()
-            accepted = self._web.stop_listening()
-            self._tell("intake-ended", accepted=accepted.taken, not_accepted=accepted.failed)
+            result = self._web.stop_listening()
+            self._log("intake-ended", accepted=result.accepted, not_accepted=result.failure)
         elif state is StopState.SENDING:
             self._web.stop_reading()
-            self._tell("answers-ended", given_up=self._give_up())
+            self._log("answers-ended", given_up=self._give_up())
         elif state is StopState.ENDED:
             self._end()
 
     def _end(self) -> None:
         now = self._clock()
-        requests = given_up(self._asked, self._web.unsent)
-        tell_given_up(requests, self._begun_at, now, self._telemetry.log)
-        self._tell("stop")
+        requests = given_up(self._open_requests, self._web.unsent)
+        tell_given_up(requests, self._started_at, now, self._telemetry.log)
+        self._log("stop")
         self._telemetry.flush()
         self._finish()
 
-    def _tell(self, name: str, **fields: object) -> None:
+    def _log(self, name: str, **fields: object) -> None:
         self._telemetry.log(
             name,
             grave=True,
-            after_s=round(self._clock() - self._begun_at, 2),
+            after_s=round(self._clock() - self._started_at, 2),
             unanswered=self._web.unanswered,
             connections=self._web.connections,
             half_sent=self._web.half_sent,
-            leads=self._leads(),
+            leads=self._is_leader(),
             **fields,
         )
--- a/spoolcrank/log_link.py
+++ b/spoolcrank/log_link.py
@@ -1,8 +1,8 @@
 """Read and append to the platform's log from a daemon.
 
-One batch of appends is in flight at a time, and the next goes out only when the last one is
-known to be on the log: by its answer, or by reading it back. A lost answer is thus resolved
-by reading; a batch sent twice is harmless, since readers drop what they have seen.
+One batch of appends is in flight at a time, and the next is sent only when every record of the
+previous one was read back from the log. A lost answer is thus resolved by reading; a batch that is
+sent twice is harmless, since readers drop records that they have already applied.
 """
 
 import json
@@ -33,23 +33,23 @@
     parse_envelope,
 )
 
-MAX_QUEUE = 2000
-_BATCH = 100
+MAX_QUEUED_RECORDS = 2000
+_MAX_BATCH_RECORDS = 100
 _APPEND_TIMEOUT_S = 2.0
 _READ_WAIT_S = 0.5
 _READ_TIMEOUT_S = 3.0
 _CONFIG_WAIT_S = 5.0
 _CONFIG_TIMEOUT_S = 8.0
-_RETRY_S = 0.2
-_RETRY_MAX_S = 1.0
-_BACKOFF = 1.5
-_READ_MAX = 500
+_INITIAL_RETRY_S = 0.2
+_MAX_RETRY_S = 1.0
+_BACKOFF_FACTOR = 1.5
+_MAX_READ_RECORDS = 500
 
-Applied = Callable[[], None]
+OnApplied = Callable[[], None]
 
 
 class Snapshot(NamedTuple):
-    """A ledger with the configuration in force when it was written."""
+    """Ledger with the configuration that was in force when it was written."""
 
     ledger: Ledger
     config_version: int
@@ -57,19 +57,19 @@
 
 
 class ConfigEntry(NamedTuple):
-    """One configuration record and its version."""
+    """Configuration record with its version, which is its offset plus one."""
 
     version: int
     record: ConfigRecord
 
 
-class _Waiting(NamedTuple):
+class _QueuedRecord(NamedTuple):
     envelope: Envelope
-    applied: Applied | None
+    on_applied: OnApplied | None
 
 
 class LogLink(BaseComponent):
-    """Own the conversation with the log."""
+    """Component that reads the log and appends records to it."""
 
     channel = "log"
 
@@ -88,67 +88,67 @@
         self._writer = writer
         self._metrics = metrics
         self._seq = 0
-        self._outbox: deque[_Waiting] = deque()
-        self._in_flight: list[_Waiting] = []
+        self._outbox: deque[_QueuedRecord] = deque()
+        self._in_flight: list[_QueuedRecord] = []
         self._sent_at = float("-inf")
         self._scheduled = False
-        self._append_delay_s = _RETRY_S
-        self._read_delay_s = _RETRY_S
-        self._next = Offset(0)
-        self._config_next = 0
+        self._append_delay_s = _INITIAL_RETRY_S
+        self._read_delay_s = _INITIAL_RETRY_S
+        self._next_offset = Offset(0)
+        self._next_config_offset = 0
         self.interval_s = 0.05
         self.retention_s = 86400.0
-        self._gap_at = -1
-        self._reads_config = False
+        self._gap_offset = -1
+        self._config_read_started = False
 
     def begin(self) -> None:
-        """Read the last snapshot, then everything after it."""
+        """Read the last snapshot, then all records after it."""
         self._read_snapshot()
 
     @property
-    def unsent(self) -> int:
-        """Return how many records wait to be appended."""
+    def pending_count(self) -> int:
+        """Return how many records are queued or not yet read back."""
         return len(self._outbox) + len(self._in_flight)
 
     @property
     def next_offset(self) -> Offset:
-        """Return the offset up to which the control stream was read."""
-        return self._next
+        """Return the offset at which the next read of the control stream starts."""
+        return self._next_offset
 
     def skip_to(self, offset: int) -> None:
-        """Read on from a later offset, as after a snapshot came from a peer."""
-        self._next = Offset(max(self._next, offset))
+        """Continue reading from a later offset, for example after a snapshot of a peer."""
+        self._next_offset = Offset(max(self._next_offset, offset))
 
-    def append(self, record: AnyRecord, applied: Applied | None = None) -> int | None:
-        """Queue a record; `applied` is called once it was read back.
+    def append(self, record: AnyRecord, on_applied: OnApplied | None = None) -> int | None:
+        """Queue a record; `on_applied` is called once it was read back and applied.
 
         Returns:
             The record's sequence number, or None when the queue is full.
         """
-        if self.unsent >= MAX_QUEUE:
+        if self.pending_count >= MAX_QUEUED_RECORDS:
             self._metrics.incr("log.queue-full")
             return None
         self._seq += 1
         envelope = Envelope(writer=self._writer, seq=self._seq, at=time.time(), record=record)
-        self._outbox.append(_Waiting(envelope, applied))
+        self._outbox.append(_QueuedRecord(envelope, on_applied))
         self._schedule()
         return self._seq
 
     def withdraw(self, seq: int) -> bool:
-        """Take a record back; False when it may already be on the log."""
-        for waiting in self._outbox:
-            if waiting.envelope.seq == seq:
-                self._outbox.remove(waiting)
+        """Remove a record from the queue; return False if it may already be on the log."""
+        for queued in self._outbox:
+            if queued.envelope.seq == seq:
+                self._outbox.remove(queued)
                 return True
         return False
 
     def resolve(self, seq: int) -> None:
-        """Learn that our records up to `seq` were read back and applied."""
-        for waiting in list(self._in_flight):
-            if waiting.envelope.seq <= seq:
-                self._in_flight.remove(waiting)
-                if waiting.applied is not None:
-                    waiting.applied()
+        """Record that this writer's records up to `seq` were read back and applied."""
+        for queued in list(self._in_flight):
+            if queued.envelope.seq <= seq:
+                self._in_flight.remove(queued)
+                if queued.on_applied is not None:
+                    queued.on_applied()
         if not self._in_flight and self._outbox:
             self._schedule()
 
@@ -163,7 +163,7 @@
         self._scheduled = False
         if self._in_flight or not self._outbox:
             return
-        while self._outbox and len(self._in_flight) < _BATCH:
+        while self._outbox and len(self._in_flight) < _MAX_BATCH_RECORDS:
             self._in_flight.append(self._outbox.popleft())
         self._send_batch()
 
@@ -171,8 +171,8 @@
         if not self._in_flight:
             return
         self._sent_at = time.monotonic()
-        last = self._in_flight[-1].envelope.seq
-        body = {"records": [dump(waiting.envelope) for waiting in self._in_flight]}
+        last_seq = self._in_flight[-1].envelope.seq
+        body = {"records": [dump(queued.envelope) for queued in self._in_flight]}
         self._metrics.incr("log.appends")
         self._metrics.incr("log.records", len(self._in_flight))
         call = HttpCall(
@@ -183,102 +183,102 @@
             json.dumps(body).encode(),
             _APPEND_TIMEOUT_S,
         )
-        self._http.send(call, lambda result: self._on_appended(last, result))
+        self._http.send(call, lambda result: self._on_appended(last_seq, result))
 
-    def _on_appended(self, last: int, result: HttpResult) -> None:
+    def _on_appended(self, last_seq: int, result: HttpResult) -> None:
         if result.ok:
-            self._append_delay_s = _RETRY_S
+            self._append_delay_s = _INITIAL_RETRY_S
             return
         reason = result.failed.value if result.failed else str(result.status)
         self._metrics.incr(f"retry.append.{reason}")
         self.fire(log_failed())
         delay_s = self._append_delay_s
-        self._append_delay_s = min(_RETRY_MAX_S, delay_s * _BACKOFF)
-        self._timers.after(delay_s, lambda: self._again(last))
+        self._append_delay_s = min(_MAX_RETRY_S, delay_s * _BACKOFF_FACTOR)
+        self._timers.after(delay_s, lambda: self._resend(last_seq))
 
-    def _again(self, last: int) -> None:
-        if self._in_flight and self._in_flight[-1].envelope.seq == last:
+    def _resend(self, last_seq: int) -> None:
+        if self._in_flight and self._in_flight[-1].envelope.seq == last_seq:
             self._send_batch()
 
     def _read_snapshot(self) -> None:
-        call = self._reading(SNAPSHOT_STREAM, "last=1", _READ_TIMEOUT_S)
+        call = self._read_call(SNAPSHOT_STREAM, "last=1", _READ_TIMEOUT_S)
         self._http.send(call, self._on_snapshot)
 
     def _on_snapshot(self, result: HttpResult) -> None:
-        page = _page(result)
+        page = _parse_page(result)
         if page is None:
             self.fire(log_failed())
-            self._timers.after(_RETRY_MAX_S, self._read_snapshot)
+            self._timers.after(_MAX_RETRY_S, self._read_snapshot)
             return
         self.retention_s = float(page.get("retention_s", self.retention_s))
         for item in page["records"]:
             snapshot = parse_snapshot(item["record"])
-            if snapshot is not None and snapshot.ledger.offset > self._next:
+            if snapshot is not None and snapshot.ledger.offset > self._next_offset:
                 self.skip_to(snapshot.ledger.offset)
                 self.fire(snapshot_read(snapshot))
         self._read()
-        if not self._reads_config:
-            self._reads_config = True
+        if not self._config_read_started:
+            self._config_read_started = True
             self._timers.after(0.0, self._read_config)
 
     def _read(self) -> None:
         asked_at = time.monotonic()
-        query = f"from={self._next}&max={_READ_MAX}&wait_s={_READ_WAIT_S}"
-        call = self._reading(CONTROL_STREAM, query, _READ_TIMEOUT_S)
+        query = f"from={self._next_offset}&max={_MAX_READ_RECORDS}&wait_s={_READ_WAIT_S}"
+        call = self._read_call(CONTROL_STREAM, query, _READ_TIMEOUT_S)
         self._http.send(call, lambda result: self._on_read(asked_at, result))
 
     def _on_read(self, asked_at: float, result: HttpResult) -> None:
-        page = _page(result)
+        page = _parse_page(result)
         if page is None:
             self.fire(log_failed())
             self._timers.after(self._read_delay_s, self._read)
-            self._read_delay_s = min(_RETRY_MAX_S, self._read_delay_s * _BACKOFF)
+            self._read_delay_s = min(_MAX_RETRY_S, self._read_delay_s * _BACKOFF_FACTOR)
             return
-        self._read_delay_s = _RETRY_S
-        if page["first"] > self._next:
+        self._read_delay_s = _INITIAL_RETRY_S
+        if page["first"] > self._next_offset:
             self._metrics.incr("log.gap")
-            if self._gap_at != self._next:
-                self._gap_at = self._next
+            if self._gap_offset != self._next_offset:
+                self._gap_offset = self._next_offset
                 self._read_snapshot()
                 return
-        entries = _entries(page, self._metrics)
-        reached = int(page["records"][-1]["offset"]) + 1 if page["records"] else self._next
-        self._next = Offset(max(self._next, reached))
-        at_end = self._next >= int(page["next"])
+        entries = _parse_entries(page, self._metrics)
+        read_to = int(page["records"][-1]["offset"]) + 1 if page["records"] else self._next_offset
+        self._next_offset = Offset(max(self._next_offset, read_to))
+        at_end = self._next_offset >= int(page["next"])
         self.fire(log_read(entries, asked_at, at_end))
         self._timers.after(0.0, self._read)
 
     def _read_config(self) -> None:
-        query = f"from={self._config_next}&max={_READ_MAX}&wait_s={_CONFIG_WAIT_S}"
-        call = self._reading(CONFIG_STREAM, query, _CONFIG_TIMEOUT_S)
+        query = f"from={self._next_config_offset}&max={_MAX_READ_RECORDS}&wait_s={_CONFIG_WAIT_S}"
+        call = self._read_call(CONFIG_STREAM, query, _CONFIG_TIMEOUT_S)
         self._http.send(call, self._on_config)
 
     def _on_config(self, result: HttpResult) -> None:
-        page = _page(result)
+        page = _parse_page(result)
         if page is None:
-            self._timers.after(_RETRY_MAX_S, self._read_config)
+            self._timers.after(_MAX_RETRY_S, self._read_config)
             return
-        found = []
+        config_entries = []
         for item in page["records"]:
-            self._config_next = int(item["offset"]) + 1
+            self._next_config_offset = int(item["offset"]) + 1
             try:
                 record = ConfigRecord.model_validate(item["record"])
             except ValidationError:
                 self._metrics.incr("config.unreadable")
                 continue
-            found.append(ConfigEntry(int(item["offset"]) + 1, record))
-        self.fire(config_read(found))
+            config_entries.append(ConfigEntry(int(item["offset"]) + 1, record))
+        self.fire(config_read(config_entries))
         self._timers.after(0.0, self._read_config)
 
     def publish(self, record: ConfigRecord, done: Callable[[int | None], None]) -> None:
-        """Append a configuration; `done` gets its offset, or None when it is not known."""
-        self._post_other(CONFIG_STREAM, dump(record), done)
+        """Append a configuration; `done` gets its offset, or None if no answer confirms it."""
+        self._append_to_stream(CONFIG_STREAM, dump(record), done)
 
     def write_snapshot(self, snapshot: Snapshot) -> None:
-        """Append a snapshot of the ledger; a lost one is made good by the next."""
-        self._post_other(SNAPSHOT_STREAM, dump_snapshot(snapshot), lambda offset: None)
+        """Append a snapshot of the ledger without retries: the next one replaces a lost one."""
+        self._append_to_stream(SNAPSHOT_STREAM, dump_snapshot(snapshot), lambda offset: None)
 
-    def _post_other(
+    def _append_to_stream(
         self, stream: str, record: dict[str, Any], done: Callable[[int | None], None]
     ) -> None:
         call = HttpCall(
@@ -296,12 +296,12 @@
 
         self._http.send(call, on_result)
 
-    def _reading(self, stream: str, query: str, timeout_s: float) -> HttpCall:
+    def _read_call(self, stream: str, query: str, timeout_s: float) -> HttpCall:
         path = f"/streams/{stream}/records?{query}"
         return HttpCall(self._address, "GET", path, {}, b"", timeout_s)
 
 
-def _page(result: HttpResult) -> dict[str, Any] | None:
+def _parse_page(result: HttpResult) -> dict[str, Any] | None:
     if not result.ok:
         return None
     try:
@@ -311,7 +311,7 @@
     return page if isinstance(page, dict) and "records" in page else None
 
 
-def _entries(page: dict[str, Any], metrics: Metrics) -> list[Entry]:
+def _parse_entries(page: dict[str, Any], metrics: Metrics) -> list[Entry]:
     entries = []
     for item in page["records"]:
         try:
@@ -322,7 +322,7 @@
 
 
 def dump_snapshot(snapshot: Snapshot) -> dict[str, Any]:
-    """Return a snapshot as plain JSON values."""
+    """Return a snapshot as plain JSON values, for `parse_snapshot`."""
     return {
         "ledger": dump_ledger(snapshot.ledger),
         "config_version": snapshot.config_version,
@@ -331,7 +331,7 @@
 
 
 def parse_snapshot(record: Any) -> Snapshot | None:
-    """Return a snapshot, None where it cannot be read."""
+    """Return a snapshot from its JSON values, or None if they are invalid."""
     try:
         return Snapshot(
             load(record["ledger"]), int(record["config_version"]), str(record["config_toml"])
--- a/spoolcrank/peer.thrift
+++ b/spoolcrank/peer.thrift
@@ -1,4 +1,4 @@
-// Messages between entry instances: one Envelope in each frame.
+// Messages between entry instances. Each frame holds one Envelope with exactly one message.
 
 struct Server {
   1: string server, 2: i64 epoch, 3: i32 free_slots,
@@ -27,7 +27,7 @@
 
 struct Handover { 1: string server, 2: i64 epoch, 3: i32 busy }
 
-// Asks for one thing by name; `text` is JSON or a command of the operators' language.
+// Query to a peer: `what` names its subject, `text` is JSON or a command in the operators' language.
 struct Query { 1: i64 number, 2: string what, 3: string text }
 
 struct Answer { 1: i64 number, 2: string text }
--- a/spoolcrank/peer_link.py
+++ b/spoolcrank/peer_link.py
@@ -14,94 +14,97 @@
 from spoolcrank.ids import Address, InstanceId
 from spoolcrank.metrics import Metrics
 
-_REDIAL_S = 0.3
-_MAX_UNSENT = 400
+_REDIAL_DELAY_S = 0.3
+_MAX_UNSENT_FRAMES = 400
 
 
 class _Outgoing:
-    """The connection over which we talk to one peer."""
+    """Connection over which this instance sends messages to one peer."""
 
     def __init__(self, owner: "PeerLink", peer: InstanceId, address: Address) -> None:
         self._owner = owner
         self.peer = peer
         self.address = address
-        self.up = False
+        self.connected = False
         self.conn: Connection | None = None
 
     def dial(self) -> None:
         self.conn = self._owner.dialer.dial(self.address, self)
 
     def on_connected(self) -> None:
-        self.up = True
+        self.connected = True
 
     def on_data(self, data: bytes) -> None:
-        """Take no notice: a peer answers over its own connection to us."""
+        """Ignore the data: a peer answers over the connection that it opened to this instance."""
 
     def on_closed(self, reason: str) -> None:
-        was_up, self.up, self.conn = self.up, False, None
-        self._owner.on_outgoing_closed(self, was_up)
+        was_connected, self.connected, self.conn = self.connected, False, None
+        self._owner.on_outgoing_closed(self, was_connected)
 
     def close(self) -> None:
         if self.conn is not None:
             self.conn.close()
             self.conn = None
-        self.up = False
+        self.connected = False
 
 
 class PeerLink(BaseComponent):
-    """Own the connections to and from the peers."""
+    """Component that owns the connections to and from the peers."""
 
     channel = "peer"
 
     def __init__(
         self,
-        me: InstanceId,
+        instance_id: InstanceId,
         bind: tuple[str, int],
         dialer: Dialer,
         timers: Timers,
         metrics: Metrics,
     ) -> None:
         super().__init__()
-        self._me = me
+        self._instance_id = instance_id
         self.dialer = dialer
         self._timers = timers
         self._metrics = metrics
-        self._out: dict[InstanceId, _Outgoing] = {}
+        self._outgoing: dict[InstanceId, _Outgoing] = {}
         self._readers: dict[socket.socket, FrameReader] = {}
         self._senders: dict[socket.socket, InstanceId] = {}
         self._server = TCPServer(bind, channel=self.channel).register(self)
 
     @property
     def listen(self) -> Address:
-        """Return the bound address."""
+        """Return the bound address, with the port that the kernel chose if 0 was given."""
         return Address(f"{self._server.host}:{self._server.port}")
 
     def know(self, addresses: dict[InstanceId, Address]) -> None:
-        """Learn the peers and their addresses by the platform's list."""
-        for peer, outgoing in list(self._out.items()):
+        """Connect to the peers of the platform's list.
+
+        Connections to peers that left the list or changed their address are closed.
+        """
+        for peer, outgoing in list(self._outgoing.items()):
             if addresses.get(peer) != outgoing.address:
                 outgoing.close()
-                del self._out[peer]
+                del self._outgoing[peer]
         for peer, address in addresses.items():
-            if peer not in self._out and peer != self._me and address:
-                self._out[peer] = _Outgoing(self, peer, address)
-                self._out[peer].dial()
+            if peer not in self._outgoing and peer != self._instance_id and address:
+                self._outgoing[peer] = _Outgoing(self, peer, address)
+                self._outgoing[peer].dial()
 
     def tell(self, peer: InstanceId, message: Message) -> bool:
-        """Send a message; False when there is no connection, so that nothing went out."""
-        return self._send(peer, encode(self._me, message))
+        """Send a message; return False if there is no connection, so that nothing was sent."""
+        return self._send(peer, encode(self._instance_id, message))
 
     def tell_many(self, peers: list[InstanceId], message: Message) -> None:
-        """Send the same message to several peers, encoded once."""
-        frame = encode(self._me, message)
+        """Send a message to several peers, encoding it once; peers without a connection miss it."""
+        frame = encode(self._instance_id, message)
         for peer in peers:
             self._send(peer, frame)
 
     def _send(self, peer: InstanceId, frame: bytes) -> bool:
-        outgoing = self._out.get(peer)
-        if outgoing is None or not outgoing.up or outgoing.conn is None:
+        outgoing = self._outgoing.get(peer)
+        if outgoing is None or not outgoing.connected or outgoing.conn is None:
             return False
-        if len(outgoing.conn.unsent) > _MAX_UNSENT:
+        if len(outgoing.conn.unsent) > _MAX_UNSENT_FRAMES:
             self._metrics.incr("peer.backlog")
             outgoing.close()
             self.on_outgoing_closed(outgoing, True)
@@ -111,14 +114,14 @@
         outgoing.conn.write(frame)
         return True
 
-    def on_outgoing_closed(self, outgoing: _Outgoing, was_up: bool) -> None:
-        """Dial again after a while, as long as the peer is listed."""
-        if was_up:
+    def on_outgoing_closed(self, outgoing: _Outgoing, was_connected: bool) -> None:
+        """Fire `peer_lost` if the connection was open; redial later while the peer is listed."""
+        if was_connected:
             self.fire(peer_lost(outgoing.peer))
-        self._timers.after(_REDIAL_S, lambda: self._redial(outgoing))
+        self._timers.after(_REDIAL_DELAY_S, lambda: self._redial(outgoing))
 
     def _redial(self, outgoing: _Outgoing) -> None:
-        if self._out.get(outgoing.peer) is outgoing and outgoing.conn is None:
+        if self._outgoing.get(outgoing.peer) is outgoing and outgoing.conn is None:
             outgoing.dial()
 
     @handler("read")
@@ -142,5 +145,5 @@
             self.fire(peer_lost(sender))
 
     @handler("connect", "closed", "error", "ready")
-    def _on_other(self, event: Event, *args: object) -> None:
-        """Take events that need nothing done."""
+    def _on_ignored(self, event: Event, *args: object) -> None:
+        """Handle the events of the server that need no action."""
--- a/spoolcrank/planned_stop.py
+++ b/spoolcrank/planned_stop.py
@@ -1,13 +1,15 @@
 """Decide which state a planned stop of an instance is in.
 
-The states follow each other and each has an end of its own, so that whatever was read is answered
-before the process ends:
-
-- serving: not ready, so the balancer looks elsewhere; requests are served as always.
-- refusing: intake has ended. The listener is closed once what waited was accepted; requests that
-  come on open connections are refused as not run; what was passed to the store gets its answer.
-- sending: what the store has not answered was answered as unknown; nothing is read any more, and
-  answers go out.
+The states follow one another and each has its own time limit, so that every request that was read
+is answered before the process ends:
+
+- serving: the instance reports that it is not ready, so the load balancer chooses others; requests
+  are served as usual.
+- refusing: intake has ended. Pending connections are accepted and the listener is closed; new
+  requests on open connections are refused as not run; requests already passed to the store get
+  their answers.
+- sending: requests that the store did not answer in time are answered as unknown; nothing more is
+  read, and the remaining answers are sent.
 - ended: the process ends.
 """
 
@@ -17,28 +19,36 @@
 from spoolcrank.job_intake import LONGEST_ANSWER_S
 
 INTAKE_END_S = 2.5
-"""After the signal to stop, requests are served for so long, s: the balancer asks each second and
-goes by two answers, so it may send new connections for 2 s, and 0.5 s are left for slow links."""
+"""Time from the stop signal until intake ends, in seconds.
 
-LAST_REQUESTS_S = 0.25
-"""From the end of intake, connections on which nothing came stand for so long, s: what waited to
-be accepted may have its request still on its way. Half of the queueing at which the platform
-calls a link choked."""
+The load balancer checks readiness every second and decides by two answers, so new connections may
+arrive for 2 s; the other 0.5 s allow for slow links."""
 
-LAG_S = 0.3
-"""What the loop may be late in all while the store is waited for, s: three tenths of a second in
-which an allotment of processor time gives nothing."""
+IDLE_CONNECTION_GRACE_S = 0.25
+"""Time after the end of intake before connections without a request are closed, in seconds.
 
-LAST_BYTES_S = 0.3
-"""For the last answers to be handed to the kernel, s; a client that reads does so at once."""
+The request of a connection that was accepted last may still be on its way. This is half of the
+queueing delay at which the platform calls a link choked."""
 
-SPARE_S = 1.0
-"""Left of the grace when the process ends, s: the interpreter took 0.08 s to end by itself, and up
-to 0.5 s after a stop on a machine with more busy processes than cores."""
+LOOP_LAG_ALLOWANCE_S = 0.3
+"""Total delay of the event loop to allow for while requests wait for the store, in seconds.
+
+The process may get no processor time for three tenths of a second once its allotment is used up."""
+
+SEND_ALLOWANCE_S = 0.3
+"""Time reserved for passing the last answers to the kernel, in seconds.
+
+For a client that reads its connection, the kernel takes them at once."""
+
+EXIT_MARGIN_S = 1.0
+"""Part of the grace period that is left for the process to exit, in seconds.
+
+The interpreter takes 0.08 s to exit, and up to 0.5 s after a stop on a machine with more busy
+processes than cores."""
 
 
 class StopState(IntEnum):
-    """Where a planned stop is."""
+    """State of a planned stop, in the order in which the states follow one another."""
 
     SERVING = 0
     REFUSING = 1
@@ -47,13 +57,13 @@
 
 
 class StopTimes(NamedTuple):
-    """When each state ends at the latest, seconds after the signal.
+    """Latest end of each state, in seconds after the stop signal.
 
     Attributes:
-        intake_end_s: of serving.
-        idle_end_s: from then on connections without a request are closed.
-        answers_end_s: of refusing.
-        end_s: of sending.
+        intake_end_s: end of serving.
+        idle_end_s: time from which connections without a request are closed.
+        answers_end_s: end of refusing.
+        end_s: end of sending.
     """
 
     intake_end_s: float
@@ -62,12 +72,12 @@
     end_s: float
 
 
-class Standing(NamedTuple):
-    """What a stop still waits for.
+class RemainingWork(NamedTuple):
+    """Work that a planned stop still waits for.
 
     Attributes:
-        connections: of clients, that stand.
-        leads: whether the leadership is not given up yet.
+        connections: number of open client connections.
+        leads: whether the instance has not given up leadership yet.
     """
 
     connections: int
@@ -75,27 +85,27 @@
 
 
 def stop_times(grace_s: float) -> StopTimes:
-    """Divide the time from the signal until the process would be killed.
+    """Divide the grace period, at whose end the process is killed, among the states.
 
-    Intake ends so early that all that was read can be answered within the bounds of the store's
-    calls; where the grace is shorter than usual, that shortens serving.
+    Intake ends early enough for every request that was read to be answered within the time limits
+    of the store's calls; a grace period that is shorter than usual shortens serving first.
     """
-    end_s = max(0.0, grace_s - SPARE_S)
-    answers_end_s = max(0.0, end_s - LAST_BYTES_S)
-    longest_s = LONGEST_ANSWER_S + LAG_S
-    intake_end_s = max(0.0, min(INTAKE_END_S, answers_end_s - longest_s))
-    idle_end_s = min(answers_end_s, intake_end_s + LAST_REQUESTS_S)
+    end_s = max(0.0, grace_s - EXIT_MARGIN_S)
+    answers_end_s = max(0.0, end_s - SEND_ALLOWANCE_S)
+    max_answer_s = LONGEST_ANSWER_S + LOOP_LAG_ALLOWANCE_S
+    intake_end_s = max(0.0, min(INTAKE_END_S, answers_end_s - max_answer_s))
+    idle_end_s = min(answers_end_s, intake_end_s + IDLE_CONNECTION_GRACE_S)
     return StopTimes(intake_end_s, idle_end_s, answers_end_s, end_s)
 
 
 def next_state(
-    before: StopState, times: StopTimes, since_s: float, standing: Standing
+    current: StopState, times: StopTimes, since_s: float, remaining: RemainingWork
 ) -> StopState:
-    """Return the state at a time after the signal; a late look passes over none of the states."""
-    if before is StopState.SERVING:
-        return StopState.REFUSING if since_s >= times.intake_end_s else before
-    if not standing.connections and not standing.leads:
+    """Return the state at a time after the stop signal; a late check does not skip a state."""
+    if current is StopState.SERVING:
+        return StopState.REFUSING if since_s >= times.intake_end_s else current
+    if not remaining.connections and not remaining.leads:
         return StopState.ENDED
-    if before is StopState.REFUSING:
-        return StopState.SENDING if since_s >= times.answers_end_s else before
-    return StopState.ENDED if since_s >= times.end_s else before
+    if current is StopState.REFUSING:
+        return StopState.SENDING if since_s >= times.answers_end_s else current
+    return StopState.ENDED if since_s >= times.end_s else current
--- a/spoolcrank/worker_link.py
+++ b/spoolcrank/worker_link.py
@@ -1,4 +1,4 @@
-"""Send commands to workers, one at a time to each, in the order they were decided."""
+"""Send commands to workers, one at a time to each worker, in the order they were queued."""
 
 import time
 from collections import deque
@@ -12,12 +12,12 @@
 from spoolcrank.metrics import Metrics
 from spoolcrank.worker import PATHS, Command, Refused, Report
 
-_TIMEOUT_S = 1.0
-_REFUSED_STATUS = 409
+_COMMAND_TIMEOUT_S = 1.0
+_HTTP_CONFLICT = 409
 
 
 class WorkerLink(BaseComponent):
-    """Own the conversations with the workers."""
+    """Component that queues commands for workers and fires events for their answers."""
 
     channel = "worker"
 
@@ -30,23 +30,23 @@
         self._addresses: dict[InstanceId, Address] = {}
 
     def know(self, server: InstanceId, address: Address) -> None:
-        """Learn where a worker answers."""
+        """Set the address to which a worker's commands are sent."""
         self._addresses[server] = address
 
     def outstanding(self, server: InstanceId) -> int:
-        """Return how many commands to a worker are queued or under way."""
+        """Return how many commands to a worker are queued or in flight."""
         return len(self._queues.get(server, ())) + (server in self._busy)
 
     def command(self, server: InstanceId, command: Command) -> None:
-        """Queue a command."""
+        """Queue a command, and send it at once if the worker has none in flight."""
         self._queues.setdefault(server, deque()).append(command)
-        self._next(server)
+        self._send_next(server)
 
     def drop(self, server: InstanceId) -> None:
-        """Forget the commands that did not go out yet."""
+        """Drop the queued commands of a worker; one in flight is not affected."""
         self._queues.pop(server, None)
 
-    def _next(self, server: InstanceId) -> None:
+    def _send_next(self, server: InstanceId) -> None:
         queue = self._queues.get(server)
         if server in self._busy or not queue:
             return
@@ -63,7 +63,7 @@
             PATHS[type(command)],
             {"Content-Type": "application/json"},
             command.model_dump_json().encode(),
-            _TIMEOUT_S,
+            _COMMAND_TIMEOUT_S,
         )
         self._metrics.incr(f"worker.{type(command).__name__.lower()}")
         self._http.send(call, lambda result: self._on_result(server, sent_at, result))
@@ -73,7 +73,7 @@
         try:
             if result.ok:
                 self.fire(worker_reported(server, Report.model_validate_json(result.body), sent_at))
-            elif result.failed is None and result.status == _REFUSED_STATUS:
+            elif result.failed is None and result.status == _HTTP_CONFLICT:
                 refused = Refused.model_validate_json(result.body)
                 self._metrics.incr(f"worker.refused.{refused.reason.replace(' ', '-')}")
                 self.fire(worker_refused(server, refused))
@@ -84,4 +84,4 @@
         except ValidationError:
             self._metrics.incr("worker.unreadable")
             self.fire(worker_silent(server))
-        self._next(server)
+        self._send_next(server)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Calls over real connections: what counts as an answer in time."""
+"""HTTP calls over real connections: time limits, silent connections and failed connects."""
 
 import socket
 import threading
@@ -20,14 +20,14 @@
 
 
 def _in_parts(conn: socket.socket) -> None:
-    """Send the whole answer, which takes PARTS pauses at least."""
+    """Send the whole answer, which takes at least PARTS pauses."""
     for _ in range(PARTS):
         time.sleep(PAUSE_S)
         conn.sendall(PART)
 
 
-def _first_part_only(conn: socket.socket) -> None:
-    """Send a part, then nothing until the client gives up."""
+def _first_part_then_silence(conn: socket.socket) -> None:
+    """Send one part, then nothing until the client closes the connection."""
     conn.sendall(PART)
     conn.recv(1)
 
@@ -49,11 +49,11 @@
     server.start()
     port = listener.getsockname()[1]
     runtime = Runtime()
-    told: list[HttpResult] = []
+    results: list[HttpResult] = []
     answered = threading.Event()
 
     def done(got: HttpResult) -> None:
-        told.append(got)
+        results.append(got)
         answered.set()
 
     call = HttpCall(Address(f"127.0.0.1:{port}"), "GET", "/", {}, b"", timeout_s, quiet_s)
@@ -63,26 +63,26 @@
     stop()
     server.join(WAIT_S)
     listener.close()
-    return told[0]
+    return results[0]
 
 
 def test_a_large_answer_over_a_slow_link_is_waited_for_while_it_comes() -> None:
-    """Instances behind slow links gave up such answers of the store and began again for ever."""
+    """Instances behind slow links aborted such answers of the store and requested them forever."""
     assert _call(_in_parts, PAUSE_S * PARTS / 2, WAIT_S).body == PART * PARTS
 
 
 def test_an_answer_that_stops_half_way_is_given_up() -> None:
-    assert _call(_first_part_only, WAIT_S, PAUSE_S).failed is Failed.TIMED_OUT
+    assert _call(_first_part_then_silence, WAIT_S, PAUSE_S).failed is Failed.TIMED_OUT
 
 
 def test_a_call_with_a_time_for_the_whole_is_given_up_after_it() -> None:
-    assert _call(_first_part_only, PAUSE_S, None).failed is Failed.TIMED_OUT
+    assert _call(_first_part_then_silence, PAUSE_S, None).failed is Failed.TIMED_OUT
 
 
 class SilentAfterFirst:
-    """A server whose connections answer one call each and then keep open and say nothing.
+    """Server whose first `silent` connections answer one call each and then stay open silently.
 
-    Connections beyond the first `silent` answer every call.
+    All later connections answer every call.
     """
 
     def __init__(self, silent: int) -> None:
@@ -122,7 +122,7 @@
 
 
 class Client:
-    """Sends calls to one server from a loop of its own."""
+    """Client that sends calls to one server from its own event loop."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
@@ -135,12 +135,12 @@
     def together(
         self, count: int, timeout_s: float, again_s: float | None = None
     ) -> list[HttpResult]:
-        told: list[HttpResult] = []
+        results: list[HttpResult] = []
         answered = threading.Event()
 
         def done(got: HttpResult) -> None:
-            told.append(got)
-            if len(told) == count:
+            results.append(got)
+            if len(results) == count:
                 answered.set()
 
         call = HttpCall(self._address, "GET", "/", {}, b"", timeout_s, again_s=again_s)
@@ -151,14 +151,14 @@
 
         self._runtime.post(send)
         assert answered.wait(WAIT_S)
-        return told
+        return results
 
     def close(self) -> None:
         self._stop()
 
 
 def test_one_time_out_drops_every_kept_connection_that_may_be_silent_too() -> None:
-    """Each of them cost one more call its whole time: seconds in a row without an answer."""
+    """Each of them would make one more call wait for its full timeout, seconds in a row."""
     server = SilentAfterFirst(3)
     client = Client(server.address)
     assert all(got.ok for got in client.together(3, WAIT_S))
@@ -179,7 +179,7 @@
 
 
 def test_a_call_over_a_new_connection_is_not_sent_twice() -> None:
-    """A server that is only slow, or gone, gets no second call."""
+    """A server that is merely slow, or has stopped, must not get a second call."""
     server = SilentAfterFirst(0)
     client = Client(server.address)
     assert client.call(WAIT_S, again_s=0.0).ok
@@ -205,11 +205,11 @@
 def test_a_call_that_cannot_even_begin_to_connect_is_told_as_not_sent(
     address: str, again_s: float | None
 ) -> None:
-    """Nobody was told, and whoever waited for the answer to ask again waited for ever.
+    """A connect that fails at once must be reported, or the caller waits forever.
 
-    Seen: no more polls to one runner. How it came about: its address let the connect fail at once,
-    or was no address. Cause: the failure came before the call that may be sent twice was noted; an
-    error of the connect left the sending. What proved it: this test without the repair.
+    A runner was no longer polled when the connect to its address failed at once, or when the
+    address was invalid. The failure arrived before the call that may be sent twice was recorded,
+    and an exception of the connect escaped from `send`.
     """
     client = Client(Address(address))
     got = client.call(PAUSE_S, again_s)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: what goes over the wire, how it is read, and the deploy files."""
+"""The platform adapter: requests it sends, answers it reads, and the deploy files."""
 
 import json
 import os
@@ -37,7 +37,7 @@
 
 
 class Http:
-    """Answers each call with what the test says."""
+    """HTTP client that answers each call with the result that the test sets."""
 
     def __init__(self, result: HttpResult) -> None:
         self.result = result
@@ -54,23 +54,23 @@
 
 
 def appended(result: HttpResult) -> AppendOutcome:
-    told: list[Any] = []
-    StoreLog(Http(result), STORE, "jobs").append(Append([KeyedRecord("k", b"v")]), told.append)
-    return told[0].outcome
+    results: list[Any] = []
+    StoreLog(Http(result), STORE, "jobs").append(Append([KeyedRecord("k", b"v")]), results.append)
+    return results[0].outcome
 
 
 def test_an_append_is_framed_and_carries_its_conditions() -> None:
     http = Http(answer(200, {"offset": 7, "end": 9}))
-    told: list[Any] = []
+    results: list[Any] = []
     records = [KeyedRecord("p/a", b"one"), KeyedRecord("p/b", b"")]
     log = StoreLog(http, STORE, "jobs")
-    log.append(Append(records, WriterFence(3, 5), at=7), told.append)
+    log.append(Append(records, WriterFence(3, 5), at=7), results.append)
     call = http.calls[0]
     assert call.path == (
         "/api/log-append?topic=keyed.jobs&part=0&at=7&producer=leader&epoch=3&callSeq=5"
     )
     assert call.body == b"\x00\x00\x00\x07\x03p/aone\x00\x00\x00\x04\x03p/b"
-    assert told[0].offset == 7
+    assert results[0].offset == 7
 
 
 @pytest.mark.parametrize(
@@ -96,20 +96,20 @@
 
 def test_a_read_gives_records_with_their_offsets() -> None:
     body = struct.pack(">QQ", 12, 3) + b"\x00\x00\x00\x04\x01kab\x00\x00\x00\x02\x01k"
-    told: list[Any] = []
-    StoreLog(Http(answer(200, body)), STORE, "op").read(10, 700, told.append)
-    assert told[0].records == (KeyedRecord("k", b"ab", 10), KeyedRecord("k", b"", 11))
-    assert told[0].end == 12
-    StoreLog(Http(answer(410, {"first": 99})), STORE, "op").read(10, 0, told.append)
-    assert told[1].outcome is ReadOutcome.EXPIRED
+    results: list[Any] = []
+    StoreLog(Http(answer(200, body)), STORE, "op").read(10, 700, results.append)
+    assert results[0].records == (KeyedRecord("k", b"ab", 10), KeyedRecord("k", b"", 11))
+    assert results[0].end == 12
+    StoreLog(Http(answer(410, {"first": 99})), STORE, "op").read(10, 0, results.append)
+    assert results[1].outcome is ReadOutcome.EXPIRED
 
 
 def test_a_record_that_is_larger_than_a_read_is_asked_for_whole() -> None:
     http = Http(answer(200, struct.pack(">QQ", 12, 0)))
     StoreLog(http, STORE, "jobs").read(10, 700, lambda got: None)
-    asked = [parse_qs(urlsplit(call.path).query) for call in http.calls]
-    assert [one["max_kb"] for one in asked] == [["32"], ["320"]]
-    assert "waitMs" not in asked[1]
+    queries = [parse_qs(urlsplit(call.path).query) for call in http.calls]
+    assert [query["max_kb"] for query in queries] == [["32"], ["320"]]
+    assert "waitMs" not in queries[1]
 
 
 def test_reads_grow_only_while_full_answers_come_at_once() -> None:
@@ -123,16 +123,16 @@
 
 def test_the_newest_records_are_listed_by_pages() -> None:
     page = {"items": [{"key": "a", "value": "b25l", "offset": 4}], "more": True, "end": 6}
-    told: list[Any] = []
+    results: list[Any] = []
     http = Http(answer(200, page))
-    StoreLog(http, STORE, "op").newest("0", told.append)
+    StoreLog(http, STORE, "op").newest("0", results.append)
     assert http.calls[0].path.endswith("&afterRev=0")
-    assert told[0].records == (KeyedRecord("a", b"one", 4),)
-    assert told[0].more
+    assert results[0].records == (KeyedRecord("a", b"one", 4),)
+    assert results[0].more
 
 
 def test_only_what_does_no_harm_twice_is_sent_again_over_a_new_connection() -> None:
-    """A job's record is not: a refusal of the second sending would hide that the first was kept."""
+    """A job's record is not: refusing the second copy would hide that the first was stored."""
     http = Http(answer(200, {"offset": 7, "end": 9}))
     log = StoreLog(http, STORE, "jobs")
     log.append(Append([KeyedRecord("j/a", b"one")]), lambda got: None)
@@ -146,11 +146,11 @@
 
 
 def started(result: HttpResult) -> OrderResult:
-    told: list[Any] = []
+    results: list[Any] = []
     target = Target(RunnerId("i-1"), Address("10.0.0.1:80"), 4)
     order = Start(target, TaskKey(JobId("ab"), 0, 1, 2), 3, "text", "", 900)
-    PlatformRunners(Http(result)).start(order, told.append)
-    return told[0].result
+    PlatformRunners(Http(result)).start(order, results.append)
+    return results[0].result
 
 
 @pytest.mark.parametrize(
@@ -180,14 +180,14 @@
         "running": [["ab.0.1.17", 2, "00bb", 41, 12.5]],
         "ended": [[58, "ab.0.1.9", 1, "done", ""]],
     }
-    told: list[Any] = []
+    results: list[Any] = []
     http = Http(answer(200, lists))
     poll = Poll(Target(RunnerId("i-1"), Address("10.0.0.1:80"), 4), 57, 486000, 1000)
-    PlatformRunners(http).poll(poll, told.append)
+    PlatformRunners(http).poll(poll, results.append)
     sent = json.loads(http.calls[0].body)
     assert sent == {"fence": 4, "lastSeen": 57, "deadlineMs": 486000, "waitMs": 1000}
     assert http.calls[0].headers["Spoolcrank-Expect-Instance"] == "i-1"
-    report = told[0].report
+    report = results[0].report
     assert report.running[0].task == TaskKey(JobId("ab"), 0, 1, 17)
     assert report.running[0].figure == 12.5
     assert report.ended[0].how is EndKind.DONE
@@ -196,11 +196,11 @@
 @pytest.mark.parametrize(("count", "whole"), [(0, True), (499, True), (500, False)])
 def test_a_full_list_of_ends_may_not_be_all_of_them(count: int, whole: bool) -> None:
     ended = [[number + 1, f"ab.0.1.{number}", 1, "done", ""] for number in range(count)]
-    told: list[Any] = []
+    results: list[Any] = []
     http = Http(answer(200, {"clockMs": 5, "running": [], "ended": ended}))
     poll = Poll(Target(RunnerId("i-1"), Address("10.0.0.1:80"), 4), 0, None, 0)
-    PlatformRunners(http).poll(poll, told.append)
-    assert told[0].report.whole is whole
+    PlatformRunners(http).poll(poll, results.append)
+    assert results[0].report.whole is whole
 
 
 def test_a_job_is_decoded_once_into_telling_fields() -> None:
@@ -311,8 +311,8 @@
         assert version, f"{line} is not pinned"
         pinned[name.lower().replace("_", "-")] = version
     for text in project["dependencies"]:
-        wanted = Requirement(text)
-        assert wanted.specifier.contains(pinned[wanted.name.lower()]), text
+        requirement = Requirement(text)
+        assert requirement.specifier.contains(pinned[requirement.name.lower()]), text
 
 
 def test_the_deploy_file_names_the_metrics_port_that_is_served() -> None:
@@ -333,13 +333,13 @@
     monkeypatch.setenv("SPOOLCRANK_NODE_FILE", str(path))
     with pytest.raises(SystemExit):
         daemon.run(0)
-    said = capsys.readouterr().err
-    assert said.count("\n") == 1
-    assert "$.ip" in said
+    stderr_text = capsys.readouterr().err
+    assert stderr_text.count("\n") == 1
+    assert "$.ip" in stderr_text
 
 
 class Every:
-    """Takes the place of timers."""
+    """Stand-in for the timers that only stores the action."""
 
     def every(self, period_s: float, action: Any) -> None:
         self.action = action
@@ -378,7 +378,7 @@
 def test_the_daemon_starts_without_the_libraries_that_only_the_command_line_needs(
     tmp_path: Path,
 ) -> None:
-    """A replaced instance of 0.43 cores was of use only seconds after its start."""
+    """With these imports a replaced instance of 0.43 cores needed seconds until it could work."""
     (tmp_path / "pkg_resources.py").write_text("print('imported'); declare_namespace = print")
     code = (
         "import sys; from spoolcrank.__main__ import without_pkg_resources\n"
--- a/tests/test_stop_times.py
+++ b/tests/test_stop_times.py
@@ -1,4 +1,4 @@
-"""The times of a planned stop: each state ends by itself, and every answer fits in before."""
+"""Time limits of a planned stop: each state ends, and every request is answered before the end."""
 
 import heapq
 import itertools
@@ -19,9 +19,9 @@
 from spoolcrank.log_follower import LogFollower
 from spoolcrank.planned_stop import (
     INTAKE_END_S,
-    LAG_S,
-    LAST_BYTES_S,
-    Standing,
+    LOOP_LAG_ALLOWANCE_S,
+    SEND_ALLOWANCE_S,
+    RemainingWork,
     StopState,
     next_state,
     stop_times,
@@ -34,16 +34,16 @@
 from tests.fleet_world import World
 
 USUAL_GRACE_S = 6.0
-LATE_S = 0.03
-"""How late each timer of the simulated loop is."""
+TIMER_LAG_S = 0.03
+"""Delay of each timer of the simulated loop, in seconds."""
 
 
 def test_whatever_is_read_can_be_answered_before_the_end() -> None:
-    """Fails if a bound of the store's calls grows over what the grace leaves for it."""
+    """Fails if the time limits of the store's calls exceed what the grace period leaves."""
     times = stop_times(USUAL_GRACE_S)
     assert times.intake_end_s == INTAKE_END_S
-    assert times.intake_end_s + LONGEST_ANSWER_S + LAG_S <= times.answers_end_s
-    assert times.answers_end_s + LAST_BYTES_S <= times.end_s < USUAL_GRACE_S
+    assert times.intake_end_s + LONGEST_ANSWER_S + LOOP_LAG_ALLOWANCE_S <= times.answers_end_s
+    assert times.answers_end_s + SEND_ALLOWANCE_S <= times.end_s < USUAL_GRACE_S
 
 
 @pytest.mark.parametrize("grace_s", [0.0, 0.5, 2.0, 4.0, 5.0, 30.0])
@@ -53,16 +53,21 @@
     assert 0.0 <= times.end_s <= grace_s
     assert times.intake_end_s <= INTAKE_END_S
     if times.intake_end_s > 0.0:
-        assert times.intake_end_s + LONGEST_ANSWER_S + LAG_S <= times.answers_end_s + 1e-9
+        assert (
+            times.intake_end_s + LONGEST_ANSWER_S + LOOP_LAG_ALLOWANCE_S
+            <= times.answers_end_s + 1e-9
+        )
 
 
-def states(standing: Standing, every_s: float, until_s: float) -> list[tuple[StopState, float]]:
-    """Return the states of a usual stop with the times when each was entered."""
+def states(
+    remaining: RemainingWork, check_interval_s: float, until_s: float
+) -> list[tuple[StopState, float]]:
+    """Return the states that a stop with the usual grace period enters, each with its time."""
     times = stop_times(USUAL_GRACE_S)
     state, entered, since_s = StopState.SERVING, [], 0.0
     while state is not StopState.ENDED and since_s < until_s:
-        since_s += every_s
-        after = next_state(state, times, since_s, standing)
+        since_s += check_interval_s
+        after = next_state(state, times, since_s, remaining)
         if after is not state:
             entered.append((after, since_s))
         state = after
@@ -70,14 +75,18 @@
 
 
 def test_with_nothing_left_the_stop_ends_soon_after_intake() -> None:
-    entered = states(Standing(0, False), 0.05, 10.0)
+    entered = states(RemainingWork(0, False), 0.05, 10.0)
     assert [state for state, _ in entered] == [StopState.REFUSING, StopState.ENDED]
     assert entered[-1][1] <= INTAKE_END_S + 0.2
 
 
-@pytest.mark.parametrize("standing", [Standing(1, False), Standing(0, True), Standing(9, True)])
-def test_clients_and_the_leadership_are_each_waited_for_until_the_end(standing: Standing) -> None:
-    entered = states(standing, 0.05, 10.0)
+@pytest.mark.parametrize(
+    "remaining", [RemainingWork(1, False), RemainingWork(0, True), RemainingWork(9, True)]
+)
+def test_clients_and_the_leadership_are_each_waited_for_until_the_end(
+    remaining: RemainingWork,
+) -> None:
+    entered = states(remaining, 0.05, 10.0)
     assert [state for state, _ in entered] == [
         StopState.REFUSING,
         StopState.SENDING,
@@ -87,7 +96,7 @@
 
 
 def test_a_loop_held_up_for_seconds_passes_over_no_state() -> None:
-    entered = states(Standing(1, True), 4.0, 40.0)
+    entered = states(RemainingWork(1, True), 4.0, 40.0)
     assert [state for state, _ in entered] == [
         StopState.REFUSING,
         StopState.SENDING,
@@ -96,7 +105,7 @@
 
 
 class Loop:
-    """A loop in simulated time whose timers are all a little late."""
+    """Event loop in simulated time whose timers all run `TIMER_LAG_S` late."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -104,7 +113,7 @@
         self._numbers = itertools.count()
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (self.now + delay_s + LATE_S, next(self._numbers), action))
+        heapq.heappush(self._due, (self.now + delay_s + TIMER_LAG_S, next(self._numbers), action))
 
     def run(self, until: float) -> None:
         while self._due and self._due[0][0] <= until:
@@ -114,7 +123,7 @@
 
 
 class Store:
-    """Appends get their outcome after a time, and reads after another; None for never."""
+    """Store that answers appends after `append_s`; it never answers reads if `read_s` is None."""
 
     def __init__(
         self, loop: Loop, outcome: AppendOutcome, append_s: float, read_s: float | None
@@ -131,14 +140,14 @@
 
     def read(self, from_offset: int, wait_ms: int, done: Callable[[Records], None]) -> None:
         if self._read_s is not None and wait_ms == 0:
-            raise AssertionError("not played here")
+            raise AssertionError("reads are not simulated")
 
     def newest(self, after_key: str, done: Callable[[NewestPage], None]) -> None:
         done(NewestPage(True, (), False, 0))
 
 
 class Instance:
-    """The intake of one instance and its clients' address, in simulated time."""
+    """Intake of an instance, with its log follower and job index, in simulated time."""
 
     def __init__(self, outcome: AppendOutcome, append_s: float) -> None:
         self.loop = loop = Loop()
@@ -154,9 +163,9 @@
         self.intake = JobIntake(self.store, self.follower, self.index, timers, clock)
 
 
-def note_age(loop: Loop, ages: list[float]) -> Callable[[IntakeOutcome], None]:
-    came_at = loop.now
-    return lambda outcome: ages.append(loop.now - came_at)
+def record_age(loop: Loop, ages: list[float]) -> Callable[[IntakeOutcome], None]:
+    received_at = loop.now
+    return lambda outcome: ages.append(loop.now - received_at)
 
 
 def job() -> JobRecord:
@@ -168,63 +177,63 @@
 def test_a_wish_that_was_passed_on_is_answered_within_its_bound(
     outcome: AppendOutcome, append_s: float
 ) -> None:
-    """Steady arrivals at a store that keeps nothing: each waits for its own calls only."""
-    one = Instance(outcome, append_s)
+    """Jobs arrive steadily at a store that stores none; each job waits for its own calls only."""
+    instance = Instance(outcome, append_s)
     ages: list[float] = []
     asked = 400
     for number in range(asked):
-        one.loop.run(100.0 + number * 0.01)
-        one.intake.submit(JobId(f"{number:x}"), job(), note_age(one.loop, ages))
-    one.loop.run(120.0)
+        instance.loop.run(100.0 + number * 0.01)
+        instance.intake.submit(JobId(f"{number:x}"), job(), record_age(instance.loop, ages))
+    instance.loop.run(120.0)
     assert len(ages) == asked
-    assert max(ages) <= UNSURE_S + LATE_S
+    assert max(ages) <= UNSURE_S + TIMER_LAG_S
 
 
 def test_a_question_that_the_store_does_not_answer_is_given_up() -> None:
-    one = Instance(AppendOutcome.KEPT, 0.0)
-    told: list[Any] = []
-    one.intake.state(JobId("a"), lambda phase: told.append((phase, one.loop.now)))
-    one.loop.run(110.0)
-    assert [phase for phase, _ in told] == [ErrorKind.LOG_UNAVAILABLE]
-    assert told[0][1] <= 100.0 + READ_S + LATE_S
+    instance = Instance(AppendOutcome.KEPT, 0.0)
+    answers: list[Any] = []
+    instance.intake.state(JobId("a"), lambda phase: answers.append((phase, instance.loop.now)))
+    instance.loop.run(110.0)
+    assert [phase for phase, _ in answers] == [ErrorKind.LOG_UNAVAILABLE]
+    assert answers[0][1] <= 100.0 + READ_S + TIMER_LAG_S
 
 
 def test_after_the_end_of_intake_nothing_new_is_passed_to_the_store() -> None:
-    one = Instance(AppendOutcome.KEPT, 0.4)
-    told: list[Any] = []
-    one.intake.submit(JobId("a"), job(), told.append)
-    one.loop.run(100.1)
-    one.intake.end()
-    one.intake.submit(JobId("b"), job(), told.append)
-    one.intake.state(JobId("b"), told.append)
-    one.intake.cancel(JobId("b"), told.append)
-    assert told == [IntakeOutcome.LEAVING, ErrorKind.LEAVING, ErrorKind.LEAVING]
-    one.loop.run(102.0)
-    assert told[3:] == [IntakeOutcome.KEPT]
-    one.intake.submit(JobId("a"), job(), told.append)
-    one.intake.state(JobId("a"), told.append)
-    assert told[4:] == [IntakeOutcome.KEPT, ErrorKind.LEAVING]
-    assert one.store.appended == 1
+    instance = Instance(AppendOutcome.KEPT, 0.4)
+    answers: list[Any] = []
+    instance.intake.submit(JobId("a"), job(), answers.append)
+    instance.loop.run(100.1)
+    instance.intake.end()
+    instance.intake.submit(JobId("b"), job(), answers.append)
+    instance.intake.state(JobId("b"), answers.append)
+    instance.intake.cancel(JobId("b"), answers.append)
+    assert answers == [IntakeOutcome.LEAVING, ErrorKind.LEAVING, ErrorKind.LEAVING]
+    instance.loop.run(102.0)
+    assert answers[3:] == [IntakeOutcome.KEPT]
+    instance.intake.submit(JobId("a"), job(), answers.append)
+    instance.intake.state(JobId("a"), answers.append)
+    assert answers[4:] == [IntakeOutcome.KEPT, ErrorKind.LEAVING]
+    assert instance.store.appended == 1
 
 
 def test_a_state_that_is_known_here_is_told_after_the_end_of_intake() -> None:
-    one = Instance(AppendOutcome.KEPT, 0.0)
-    told: list[Any] = []
-    one.intake.submit(JobId("a"), job(), told.append)
-    one.loop.run(101.0)
-    one.intake.end()
-    one.follower.copy.read_at = one.loop.now
-    one.intake.state(JobId("a"), told.append)
-    assert told == [IntakeOutcome.KEPT, JobPhase.PENDING]
+    instance = Instance(AppendOutcome.KEPT, 0.0)
+    answers: list[Any] = []
+    instance.intake.submit(JobId("a"), job(), answers.append)
+    instance.loop.run(101.0)
+    instance.intake.end()
+    instance.follower.copy.read_at = instance.loop.now
+    instance.intake.state(JobId("a"), answers.append)
+    assert answers == [IntakeOutcome.KEPT, JobPhase.PENDING]
 
 
 class Log:
     def log(self, name: str, grave: bool = False, **fields: Any) -> None:
-        """Nothing is kept."""
+        """Discard the line."""
 
 
 def test_what_still_waits_at_the_end_is_answered_for_what_is_known_of_it() -> None:
-    """A record that may be on the log is never called refused; a question may be asked again."""
+    """A record that may be on the log is never reported as refused; a query may be repeated."""
     route = {
         "name": "q",
         "host": "a",
@@ -234,9 +243,9 @@
         "sloMs": 250,
     }
     table = configuration_of(json.dumps({"version": 1, "routes": [route]}).encode())
-    one = Instance(AppendOutcome.UNKNOWN, 50.0)
+    instance = Instance(AppendOutcome.UNKNOWN, 50.0)
     log: Any = Log()
-    api = ClientApi(one.intake, lambda: table, lambda done: done(True), log, Figures())
+    api = ClientApi(instance.intake, lambda: table, lambda done: done(True), log, Figures())
     got: list[tuple[str, HttpReply]] = []
     body = json.dumps({"spec": "x", "steps": [{"count": 1}]}).encode()
 
@@ -246,7 +255,7 @@
 
     for method in ("POST", "GET", "DELETE"):
         ask(method)
-    one.loop.run(100.5)
+    instance.loop.run(100.5)
     assert got == []
     assert api.give_up() == 3
     assert {method: answer.status for method, answer in got} == {
@@ -254,13 +263,13 @@
         "GET": 503,
         "DELETE": 504,
     }
-    one.loop.run(200.0)
+    instance.loop.run(200.0)
     assert len(got) == 3
     assert len(api.open_requests) == 0
 
 
 def test_a_claim_on_its_way_when_the_stop_begins_is_given_up_before_intake_ends() -> None:
-    """The process would else leave as the leader: its stop counted on nothing to give up."""
+    """Otherwise the process ends as leader, because its stop found no leadership to give up."""
     world = World(1)
     for number in range(2):
         world.add_instance(f"entry-{number}")
@@ -271,9 +280,9 @@
     leaving.dispatcher.leave(lambda: None)
     world.run(INTAKE_END_S)
     assert leaving.dispatcher.scheduler is None
-    claims = [one for one in world.store.jobs.records if one.key == LEADER_KEY]
-    by_leaving = [decode_claim(one.value) for one in claims]
-    assert [one.resigned for one in by_leaving if one.instance == leaving.name][-1]
+    leader_records = [record for record in world.store.jobs.records if record.key == LEADER_KEY]
+    decoded = [decode_claim(record.value) for record in leader_records]
+    assert [claim.resigned for claim in decoded if claim.instance == leaving.name][-1]
     leader = world.leader()
     assert leader is not None
     assert leader is not leaving
@@ -281,4 +290,8 @@
 
 def claimants(world: World) -> list[Any]:
     instances = world.instances.values()
-    return [one for one in instances if any(name == "claims" for name, _ in one.logged.lines)]
+    return [
+        instance
+        for instance in instances
+        if any(name == "claims" for name, _ in instance.logged.lines)
+    ]
--- a/tests/test_web_stop.py
+++ b/tests/test_web_stop.py
@@ -1,4 +1,4 @@
-"""The server's side of a planned stop: what counts as answered, and when connections close."""
+"""The HTTP server during a planned stop: which requests are answered, when connections close."""
 
 import socket
 import threading
@@ -14,26 +14,26 @@
 
 WAIT_S = 30.0
 LARGE = b"x" * (8 << 20)
-"""More than the kernel holds for a client that does not read."""
+"""Body larger than the kernel buffers for a client that does not read."""
 
 
-class Served:
-    """One server in a loop of its own; the test decides when each request is answered."""
+class ServerInThread:
+    """Server in its own event loop; the test decides when each request is answered."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[HttpRequest, Reply]] = []
+        self.requests: list[tuple[HttpRequest, Reply]] = []
         self._runtime = Runtime()
         self.web: WebServer = self._runtime.serve(Address("127.0.0.1:0"), self._take)
         self._stop = self._runtime.run_in_thread()
         self._clients: list[socket.socket] = []
 
     def _take(self, req: HttpRequest, reply: Reply) -> None:
-        self.asked.append((req, reply))
+        self.requests.append((req, reply))
         if req.path == "/now":
             reply(HttpReply(200, {}, b"now"))
 
     def do(self, action: Callable[[], Any]) -> Any:
-        """Run an action in the loop and return what it gave."""
+        """Run an action in the loop and return its result."""
         done = threading.Event()
         got: list[Any] = []
 
@@ -59,10 +59,10 @@
         return conn
 
     def answer(self, body: bytes) -> None:
-        """Answer the request that came last, one that waits for it."""
+        """Answer the last request, once it is one that waits for its answer."""
 
-        self.wait(lambda: bool(self.asked) and self.asked[-1][0].path == "/later")
-        reply = self.asked[-1][1]
+        self.wait(lambda: bool(self.requests) and self.requests[-1][0].path == "/later")
+        reply = self.requests[-1][1]
         self.do(lambda: reply(HttpReply(200, {}, body)))
 
     def close(self) -> None:
@@ -72,10 +72,10 @@
 
 
 @pytest.fixture
-def served() -> Iterator[Served]:
-    one = Served()
-    yield one
-    one.close()
+def served() -> Iterator[ServerInThread]:
+    server = ServerInThread()
+    yield server
+    server.close()
 
 
 def request(path: str) -> bytes:
@@ -89,8 +89,8 @@
     return got
 
 
-def test_an_answer_counts_as_unanswered_until_the_kernel_has_it(served: Served) -> None:
-    """A process that ended before would throw the rest of it away."""
+def test_an_answer_counts_as_unanswered_until_the_kernel_has_it(served: ServerInThread) -> None:
+    """A process that exits earlier would lose the rest of the answer."""
     conn = served.client()
     conn.sendall(request("/later"))
     served.do(served.web.close_after_answers)
@@ -101,15 +101,17 @@
     served.wait(lambda: served.web.unanswered == 0)
 
 
-def test_a_request_that_came_behind_another_is_answered_before_the_close(served: Served) -> None:
+def test_a_request_that_came_behind_another_is_answered_before_the_close(
+    served: ServerInThread,
+) -> None:
     conn = served.client()
     conn.sendall(request("/later"))
-    served.wait(lambda: len(served.asked) == 1)
+    served.wait(lambda: len(served.requests) == 1)
     conn.sendall(request("/later"))
     time.sleep(0.2)
     served.do(served.web.close_after_answers)
     served.answer(b"first")
-    served.wait(lambda: len(served.asked) == 2)
+    served.wait(lambda: len(served.requests) == 2)
     time.sleep(0.2)
     served.answer(b"second")
     got = read_to_end(conn)
@@ -117,7 +119,7 @@
     assert got.endswith(b"second")
 
 
-def test_a_client_that_goes_leaves_nothing_unanswered(served: Served) -> None:
+def test_a_client_that_goes_leaves_nothing_unanswered(served: ServerInThread) -> None:
     conn = served.client()
     conn.sendall(request("/later"))
     served.wait(lambda: served.web.unanswered == 1)
@@ -127,7 +129,9 @@
     assert served.do(lambda: served.web.unanswered) == 0
 
 
-def test_what_waits_to_be_accepted_is_served_though_the_listener_closes(served: Served) -> None:
+def test_what_waits_to_be_accepted_is_served_though_the_listener_closes(
+    served: ServerInThread,
+) -> None:
     def connect_and_stop_listening() -> tuple[list[socket.socket], Any]:
         made = [socket.create_connection(("127.0.0.1", served.web.port)) for _ in range(3)]
         return made, served.web.stop_listening()
@@ -145,7 +149,7 @@
         socket.create_connection(("127.0.0.1", port), timeout=1)
 
 
-def test_only_connections_without_work_are_closed_as_idle(served: Served) -> None:
+def test_only_connections_without_work_are_closed_as_idle(served: ServerInThread) -> None:
     idle, half, asking = served.client(), served.client(), served.client()
     half.sendall(request("/now")[:9])
     asking.sendall(request("/later"))
@@ -161,8 +165,10 @@
     assert served.do(lambda: served.web.connections) == 0
 
 
-def test_a_request_that_has_just_come_is_answered_and_not_closed_as_idle(served: Served) -> None:
-    """Its bytes may be unread, or read and still in the loop's queue, when idle ones are closed."""
+def test_a_request_that_has_just_come_is_answered_and_not_closed_as_idle(
+    served: ServerInThread,
+) -> None:
+    """When idle connections are closed, its bytes may be unread, or read but still in the queue."""
     served.do(served.web.close_after_answers)
     for _ in range(20):
         conn = served.client()
@@ -176,7 +182,9 @@
         assert read_to_end(conn).endswith(b"now")
 
 
-def test_what_is_read_but_not_looked_at_when_reading_ends_is_answered(served: Served) -> None:
+def test_what_is_read_but_not_looked_at_when_reading_ends_is_answered(
+    served: ServerInThread,
+) -> None:
     conn = served.client()
 
     def send_and_end() -> None:
@@ -190,7 +198,7 @@
     assert read_to_end(conn).endswith(b"now")
 
 
-def test_after_the_end_of_reading_what_was_read_whole_is_answered(served: Served) -> None:
+def test_after_the_end_of_reading_what_was_read_whole_is_answered(served: ServerInThread) -> None:
     half, asking = served.client(), served.client()
     half.sendall(request("/now")[:9])
     asking.sendall(request("/later"))
@@ -204,10 +212,10 @@
     served.wait(lambda: served.web.connections == 0)
 
 
-def test_a_request_that_fails_inside_is_answered_once(served: Served) -> None:
+def test_a_request_that_fails_inside_is_answered_once(served: ServerInThread) -> None:
     def fail(req: HttpRequest, reply: Reply) -> None:
-        served.asked.append((req, reply))
-        raise ValueError("an error of ours")
+        served.requests.append((req, reply))
+        raise ValueError("handler failed")
 
     served.web._answer = fail
     conn = served.client()
