--- a/spoolcrank/_standin_worker.py
+++ b/spoolcrank/_standin_worker.py
@@ -1,7 +1,7 @@
-"""Model a platform worker: leases, epochs, checkpoints, throttling, late usage reports.
+"""Model a platform worker: leases, epochs, checkpoints, throttling and late usage reports.
 
-The model has no I/O and takes the present time as an argument, so that the stand-in
-process and the state-machine tests run the same worker.
+The model does no I/O and takes the current time as an argument, so that the stand-in process and
+the state-machine tests can use the same worker.
 """
 
 from collections import deque
@@ -28,12 +28,14 @@
     Usage,
 )
 
-_FOREVER_S = 1e12
+_ENDLESS_WORK_S = 1e12
+"""Work of a task that never finishes by itself, seconds."""
+
 _MIN_SPEED = 0.05
 
 
 class Run(NamedTuple):
-    """One interval for which an attempt ran, in Unix seconds."""
+    """One interval in which an attempt ran; `start` and `end` are in Unix seconds."""
 
     task: str
     attempt: int
@@ -49,7 +51,7 @@
 
 
 class Overcommit(NamedTuple):
-    """A moment at which more was allocated than the worker holds."""
+    """A moment at which the allocated resources exceeded the capacity of the worker."""
 
     at: float
     processors: float
@@ -61,14 +63,14 @@
 class _Attempt:
     start: Start
     epoch: Epoch
-    began: float
+    started_at: float
     lease_until: float
     work_s: float
     done_s: float
     uses: Resources
     throttle: float = 1.0
-    began_done_s: float = 0.0
-    updated: float = 0.0
+    resumed_from_s: float = 0.0
+    updated_at: float = 0.0
 
 
 @dataclass
@@ -76,11 +78,13 @@
     """The state of one worker.
 
     Attributes:
-        incarnation: changes when the process starts anew.
-        capacity: what it holds.
-        speed: of its processors against the standard kind.
-        report_lag_s: how late usage is reported.
-        fail_all: whether every attempt fails soon after its start.
+        incarnation: Id of the process, which changes with each restart.
+        capacity: The resources that the worker can allocate.
+        speed: Speed of its processors relative to the standard kind.
+        report_lag_s: Delay of the usage reports, in seconds.
+        fail_all: Whether every attempt fails soon after its start.
+        overuse_s: Time in which the actual usage exceeded the capacity, in seconds.
+        service_usage: The resources that the runner on the same instance uses.
     """
 
     incarnation: Incarnation
@@ -96,17 +100,17 @@
     runs: list[Run] = field(default_factory=list)
     overcommits: list[Overcommit] = field(default_factory=list)
     overuse_s: float = 0.0
-    service_uses: Resources = NOTHING
+    service_usage: Resources = NOTHING
     _usage: deque[tuple[float, list[Usage]]] = field(default_factory=deque)
-    _sampled: float = 0.0
-    _advanced: float = 0.0
+    _sampled_at: float = 0.0
+    _advanced_at: float = 0.0
 
     def obey(self, cmd: Command, now: float) -> Report | Refused:
-        """Carry out one command, or refuse it by epoch or incarnation."""
+        """Execute one command and return a report, or refuse an outdated or misdirected command."""
         self.advance(now)
-        refused = self._fence(cmd, now)
-        if refused is not None:
-            return refused
+        refusal = self._fence(cmd, now)
+        if refusal is not None:
+            return refusal
         self.owner = cmd.owner
         self.epoch = cmd.epoch
         self.seq = cmd.seq
@@ -128,15 +132,15 @@
     def _fence(self, cmd: Fence, now: float) -> Refused | None:
         reason = ""
         if not isinstance(cmd, Adopt) and cmd.incarnation != self.incarnation:
-            reason = "meant for another incarnation"
+            reason = "the command is for another incarnation"
         elif cmd.epoch < self.epoch:
-            reason = "lower epoch"
+            reason = "the epoch is lower than the accepted one"
         elif cmd.epoch == self.epoch and self.owner and cmd.owner != self.owner:
-            reason = "epoch taken by another owner"
+            reason = "the epoch belongs to another owner"
         elif cmd.epoch == self.epoch and cmd.seq <= self.seq:
-            reason = "overtaken by a later command"
+            reason = "a later command has been received already"
         elif cmd.expires is not None and now > cmd.expires:
-            reason = "too long on its way"
+            reason = "the command expired before it was received"
         if not reason:
             return None
         return Refused(
@@ -165,13 +169,13 @@
         self.running[cmd.task] = _Attempt(
             start=cmd,
             epoch=cmd.epoch,
-            began=now,
+            started_at=now,
             lease_until=now + cmd.lease_s,
             work_s=_work_s(cmd),
             done_s=done_s,
             uses=_uses(cmd),
-            began_done_s=done_s,
-            updated=now,
+            resumed_from_s=done_s,
+            updated_at=now,
         )
         allocated = total(attempt.start.size.resources for attempt in self.running.values())
         if not allocated.fits_in(self.capacity):
@@ -187,28 +191,28 @@
         if attempt is None or attempt.start.attempt != number:
             return
         del self.running[task]
-        keeps = how in ("evicted", "lapsed")
+        has_checkpoint = how in ("evicted", "lapsed")
         self.ended[task] = EndedTask(
             task=task,
             attempt=number,
             how=how,
-            checkpoint={"work_done_s": attempt.done_s} if keeps else None,
+            checkpoint={"work_done_s": attempt.done_s} if has_checkpoint else None,
             reason=reason,
         )
         self.runs.append(_run(task, attempt, now, how))
 
     def advance(self, now: float) -> None:
-        """Let time pass: work is done, leases lapse, attempts finish or fail."""
+        """Advance to the current time: progress work, expire leases, and end attempts."""
         speed = self._speed()
-        elapsed = max(0.0, now - self._advanced)
-        if not self._true_use().fits_in(self.capacity):
+        elapsed = max(0.0, now - self._advanced_at)
+        if not self._actual_usage().fits_in(self.capacity):
             self.overuse_s += elapsed
-        self._advanced = now
+        self._advanced_at = now
         for task, attempt in list(self.running.items()):
             until = min(now, attempt.lease_until)
-            ran_s = max(0.0, until - attempt.updated)
+            ran_s = max(0.0, until - attempt.updated_at)
             attempt.done_s = min(attempt.work_s, attempt.done_s + ran_s * speed * attempt.throttle)
-            attempt.updated = now
+            attempt.updated_at = now
             if self._fails(attempt, now):
                 self._end(task, attempt.start.attempt, "failed", now, "exit status 1")
             elif attempt.done_s >= attempt.work_s:
@@ -222,20 +226,20 @@
             return True
         return bool(attempt.start.payload.get("fails")) and attempt.done_s >= attempt.work_s
 
-    def _true_use(self) -> Resources:
-        return total([self.service_uses, *(item.uses for item in self.running.values())])
+    def _actual_usage(self) -> Resources:
+        return total([self.service_usage, *(attempt.uses for attempt in self.running.values())])
 
     def _speed(self) -> float:
-        wanted = self._true_use().processors
-        share = 1.0 if wanted <= self.capacity.processors else self.capacity.processors / wanted
-        if self._true_use().memory_mb > self.capacity.memory_mb:
+        demand = self._actual_usage().processors
+        share = 1.0 if demand <= self.capacity.processors else self.capacity.processors / demand
+        if self._actual_usage().memory_mb > self.capacity.memory_mb:
             share *= 0.5
         return max(_MIN_SPEED, self.speed * share)
 
     def _sample(self, now: float) -> None:
-        if now - self._sampled < 1.0:
+        if now - self._sampled_at < 1.0:
             return
-        self._sampled = now
+        self._sampled_at = now
         usage = [
             Usage(
                 task=task,
@@ -254,7 +258,7 @@
         return latest
 
     def report(self, now: float) -> Report:
-        """List everything that the worker holds."""
+        """Return a report of the running and ended attempts, and of the delayed usage."""
         return Report(
             incarnation=self.incarnation,
             owner=self.owner,
@@ -268,7 +272,7 @@
                     task_class=attempt.start.task_class,
                     job_class=attempt.start.job_class,
                     throttle=attempt.throttle,
-                    ran_s=round(now - attempt.began, 3),
+                    ran_s=round(now - attempt.started_at, 3),
                 )
                 for task, attempt in self.running.items()
             ],
@@ -277,15 +281,18 @@
         )
 
     def slowdown(self, factor_of: Callable[[str], float]) -> float:
-        """Return the factor by which running tasks stretch a service's time here."""
-        extra = sum(
+        """Return the factor by which the running tasks lengthen the service time of the runner.
+
+        `factor_of` returns the slowdown that a task class adds at full speed.
+        """
+        added_slowdown = sum(
             factor_of(attempt.start.task_class) * attempt.throttle
             for attempt in self.running.values()
         )
-        return 1.0 + extra
+        return 1.0 + added_slowdown
 
     def journal(self, now: float) -> list[Run]:
-        """Return every interval, those that still run included."""
+        """Return every interval in which an attempt ran, including the open ones."""
         open_runs = [_run(task, attempt, None, "running") for task, attempt in self.running.items()]
         return [*self.runs, *open_runs]
 
@@ -296,10 +303,10 @@
         task=task,
         attempt=attempt.start.attempt,
         epoch=attempt.epoch,
-        start=attempt.began,
+        start=attempt.started_at,
         end=end,
         how=how,
-        work_done_s=round(attempt.done_s - attempt.began_done_s, 4),
+        work_done_s=round(attempt.done_s - attempt.resumed_from_s, 4),
         processors=size.processors,
         memory_mb=size.memory_mb,
         accelerators=size.accelerators,
@@ -308,7 +315,7 @@
 
 
 def _work_s(cmd: Start) -> float:
-    default = 1.0 if cmd.job_class is JobClass.BATCH else _FOREVER_S
+    default = 1.0 if cmd.job_class is JobClass.BATCH else _ENDLESS_WORK_S
     return float(cmd.payload.get("run_s", default))
 
 
--- a/spoolcrank/cli.py
+++ b/spoolcrank/cli.py
@@ -1,4 +1,4 @@
-"""Give the command line: one program over one library."""
+"""Run and operate a spoolcrank fleet from the command line."""
 
 import json
 import sys
@@ -17,7 +17,7 @@
 from spoolcrank.job_report import image_table, report_table
 from spoolcrank.job_report import plot as draw_report
 from spoolcrank.job_times import job_times
-from spoolcrank.log_search import lines_about, parsed
+from spoolcrank.log_search import lines_about, parse_lines
 from spoolcrank.resources import Resources
 from spoolcrank.serve_words import METRICS_PORT
 from spoolcrank.settings import check_entry
@@ -26,9 +26,9 @@
 standin = typer.Typer(no_args_is_help=True, help="Run a stand-in of the platform.")
 app.add_typer(standin, name="standin")
 
-_ERRORS = Console(stderr=True)
-_EXIT_BAD = 2
-_DIFFERENCES_SHOWN = 10
+_ERROR_CONSOLE = Console(stderr=True)
+_EXIT_ERROR = 2
+_MAX_DIFFERENCES_SHOWN = 10
 _DEFAULT_JOB = {"name": "load", "payload": {"run_s": 1.0}}
 
 Listen = Annotated[str, typer.Option(envvar="SPOOLCRANK_LISTEN", help="IP:PORT")]
@@ -49,10 +49,10 @@
     statsd: Annotated[str | None, typer.Option(envvar="SPOOLCRANK_STATSD")] = None,
     log_file: Annotated[str, typer.Option(envvar="SPOOLCRANK_LOG_FILE", help="- is stderr")] = "-",
     trace_file: Annotated[
-        str, typer.Option(envvar="SPOOLCRANK_TRACE_FILE", help="record the decisions here")
+        str, typer.Option(envvar="SPOOLCRANK_TRACE_FILE", help="file for a trace of the decisions")
     ] = "",
     linger_s: Annotated[
-        float, typer.Option(envvar="SPOOLCRANK_LINGER_S", help="serve on so long when stopping")
+        float, typer.Option(envvar="SPOOLCRANK_LINGER_S", help="seconds to serve on when stopping")
     ] = 2.0,
 ) -> None:
     """Run an entry instance."""
@@ -76,7 +76,7 @@
     listen: Listen,
     retention_s: Annotated[float, typer.Option(envvar="SPOOLCRANK_RETENTION_S")] = 86400.0,
 ) -> None:
-    """Run a log service."""
+    """Run a stand-in of the log service."""
     standin_log.run(Address(listen), retention_s)
 
 
@@ -86,7 +86,7 @@
     fleet: Annotated[str, typer.Option(envvar="SPOOLCRANK_FLEET", help="fleet file")],
     lag_s: Annotated[float, typer.Option(envvar="SPOOLCRANK_LAG_S")] = 0.0,
 ) -> None:
-    """Run an instance list."""
+    """Run a stand-in of the instance list."""
     standin_instances.run(Address(listen), standin_instances.read_fleet(fleet), lag_s)
 
 
@@ -106,7 +106,7 @@
     fail_all: Annotated[bool, typer.Option(envvar="SPOOLCRANK_FAIL_ALL")] = False,
     seed: Annotated[int, typer.Option(envvar="SPOOLCRANK_SEED")] = 1,
 ) -> None:
-    """Run a backend server instance: a worker and, with --service, a runner."""
+    """Run a stand-in of a backend server instance: a worker and, with --service, a runner."""
     name = ServiceName(service)
     slowdowns = standin_backend.read_slowdowns(interference, name) if interference else {}
     standin_backend.run(
@@ -136,16 +136,18 @@
     words: Annotated[list[str], typer.Argument(help="the command, such as: show pending")],
     entry: Annotated[str, typer.Option(envvar="SPOOLCRANK_ENTRY", help="URL")],
     as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
-    command_id: Annotated[str, typer.Option("--id", help="repeat a command safely")] = "",
+    command_id: Annotated[
+        str, typer.Option("--id", help="id that makes a repeated command take effect once")
+    ] = "",
     by: Annotated[str, typer.Option(envvar="SPOOLCRANK_OPERATOR")] = "operator",
 ) -> None:
-    """Give an operator's command: show, why, submit, cancel, drain, set, config ..."""
-    told = operator_commands.command(entry, words, command_id, by)
+    """Send an operator's command: show, why, submit, cancel, drain, set, config ..."""
+    response = operator_commands.command(entry, words, command_id, by)
     if as_json:
-        sys.stdout.write(json.dumps(told.body) + "\n")
+        sys.stdout.write(json.dumps(response.body) + "\n")
     else:
-        operator_commands.render(told, Console())
-    raise typer.Exit(0 if told.ok else 1)
+        operator_commands.render(response, Console())
+    raise typer.Exit(0 if response.ok else 1)
 
 
 @app.command("load")
@@ -161,9 +163,9 @@
     job: Annotated[str, typer.Option(envvar="SPOOLCRANK_JOB", help="job file, TOML")] = "",
     seed: Annotated[int, typer.Option(envvar="SPOOLCRANK_SEED")] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
-    answers: Annotated[str, typer.Option(help="write every answer here, JSON lines")] = "",
+    answers: Annotated[str, typer.Option(help="file for all results, as JSON lines")] = "",
 ) -> None:
-    """Offer requests and jobs, check every answer, report percentiles; 1 if any is broken."""
+    """Send requests and jobs at a fixed rate and check all answers; exit with 1 if one is wrong."""
     spec = tomllib.loads(Path(job).read_text(encoding="utf-8")) if job else _DEFAULT_JOB
     plan = load.LoadPlan(
         entries=entry,
@@ -179,7 +181,7 @@
     )
     report = load.offer(plan)
     if answers:
-        lines = [json.dumps(one._asdict()) for one in report.seen]
+        lines = [json.dumps(result._asdict()) for result in report.seen]
         Path(answers).write_text("\n".join(lines) + "\n", encoding="utf-8")
     if as_json:
         sys.stdout.write(json.dumps(report.summary()) + "\n")
@@ -192,14 +194,17 @@
 def replay_command(
     trace: Annotated[Path, typer.Argument(help="a trace, JSON lines", exists=True)],
 ) -> None:
-    """Feed a recorded trace to the decisions; 1 if they decide otherwise than stated."""
-    found = replay.replay(trace.read_text(encoding="utf-8").splitlines())
+    """Replay a recorded trace; exit with 1 if the decisions differ from the recorded ones."""
+    result = replay.replay(trace.read_text(encoding="utf-8").splitlines())
     console = Console()
-    console.print(f"{found.inputs} inputs, {found.decided} decisions")
-    for one in found.differences[:_DIFFERENCES_SHOWN]:
-        console.print(f"line {one.line}: stated {one.stated}, decided {one.decided}")
-    console.print(f"{len(found.differences)} differences")
-    raise typer.Exit(1 if found.differences else 0)
+    console.print(f"{result.input_count} inputs, {result.decision_count} decisions")
+    for difference in result.differences[:_MAX_DIFFERENCES_SHOWN]:
+        console.print(
+            f"line {difference.line}: recorded {difference.recorded}, "
+            f"replayed {difference.replayed}"
+        )
+    console.print(f"{len(result.differences)} differences")
+    raise typer.Exit(1 if result.differences else 0)
 
 
 @app.command("report")
@@ -207,12 +212,14 @@
     logs: Annotated[list[Path], typer.Argument(help="log files of all instances")],
     plot: Annotated[str, typer.Option(help="PNG file for a plot (extra `plots`)")] = "",
 ) -> None:
-    """Tell from instances' logs where the time of each queue's jobs went."""
+    """Report from the logs of the instances how the jobs of each queue spent their time."""
     texts = [text for path in logs for text in path.read_text(encoding="utf-8").splitlines()]
-    jobs = job_times(parsed(texts))
+    jobs = job_times(parse_lines(texts))
     if not jobs:
-        _ERRORS.print("no line of a job that was accepted and ended stands in these logs")
-        raise typer.Exit(_EXIT_BAD)
+        _ERROR_CONSOLE.print(
+            "the logs show no completed or unfinished job that was accepted and read by a leader"
+        )
+        raise typer.Exit(_EXIT_ERROR)
     console = Console(width=200)
     console.print(report_table(jobs))
     console.print(image_table(jobs))
@@ -225,22 +232,22 @@
     wanted: Annotated[str, typer.Argument(metavar="ID", help="a job, a request's path, a runner")],
     logs: Annotated[list[Path], typer.Option(help="log file of an instance; repeat it")],
 ) -> None:
-    """Show what instances' logs say of one job or request, in order; 1 if nothing."""
+    """Show the log lines about a job, request or runner in time order; exit with 1 if none."""
     texts = [line for path in logs for line in path.read_text(encoding="utf-8").splitlines()]
-    found = lines_about(wanted, texts)
-    for line in found:
-        moment = f"{line.at - found[0].at:9.3f}"
-        sys.stdout.write(f"{moment} {line.instance} {line.event} {line.text()}\n")
-    raise typer.Exit(0 if found else 1)
+    lines = lines_about(wanted, texts)
+    for line in lines:
+        elapsed = f"{line.at - lines[0].at:9.3f}"
+        sys.stdout.write(f"{elapsed} {line.instance} {line.event} {line.text()}\n")
+    raise typer.Exit(0 if lines else 1)
 
 
 @app.command("serve")
 def serve_command(
     metrics_port: Annotated[
-        int, typer.Option(envvar="SPOOLCRANK_METRICS_PORT", help="tell the figures there")
+        int, typer.Option(envvar="SPOOLCRANK_METRICS_PORT", help="port of the Prometheus metrics")
     ] = METRICS_PORT,
 ) -> None:
-    """Run the daemon of an instance on the users' platform; its settings are in a file."""
+    """Run the daemon of an instance on the users' platform, with settings from a file."""
     from spoolcrank.platform.daemon import run
 
     run(metrics_port)
@@ -248,19 +255,23 @@
 
 @app.command("demo")
 def demo_command(
-    seconds: Annotated[float, typer.Option(help="how long load is offered")] = 12.0,
+    seconds: Annotated[float, typer.Option(help="duration of the load")] = 12.0,
 ) -> None:
-    """Run the whole system in one process and check its promises."""
+    """Run the whole system in one process and check its invariants."""
     raise typer.Exit(demo.run(seconds, Console()))
 
 
 def main() -> None:
-    """Run the program; errors of ours end in one line and exit code 2."""
+    """Run the command line.
+
+    Errors of spoolcrank and of the operating system end it with one line on standard error and
+    exit code 2.
+    """
     try:
         app()
     except (SpoolcrankError, OSError) as exc:
-        _ERRORS.print(f"[red]spoolcrank:[/red] {exc}", highlight=False)
-        sys.exit(_EXIT_BAD)
+        _ERROR_CONSOLE.print(f"[red]spoolcrank:[/red] {exc}", highlight=False)
+        sys.exit(_EXIT_ERROR)
 
 
 if __name__ == "__main__":
--- a/spoolcrank/ctl.py
+++ b/spoolcrank/ctl.py
@@ -1,4 +1,4 @@
-"""Give operators' commands from the shell and show the answers as tables."""
+"""Send operators' commands to an entry instance and show the answers as tables."""
 
 import json
 import tomllib
@@ -14,29 +14,32 @@
 from spoolcrank.ids import unique
 
 TIMEOUT_S = 15.0
-_OK = range(200, 300)
+_SUCCESS_STATUSES = range(200, 300)
 
 
-class Told(NamedTuple):
-    """An entry instance's answer."""
+class Response(NamedTuple):
+    """The answer of an entry instance."""
 
     status: int
     body: dict[str, Any]
 
     @property
     def ok(self) -> bool:
-        """Tell whether the command did what it says."""
-        return self.status in _OK
+        """Whether the command succeeded, which is any status from 200 to 299."""
+        return self.status in _SUCCESS_STATUSES
 
 
-def send(url: str, method: str, path: str, body: bytes, headers: dict[str, str]) -> Told:
-    """Send one request to an entry instance; raises SpoolcrankError when none answers."""
+def send(url: str, method: str, path: str, body: bytes, headers: dict[str, str]) -> Response:
+    """Send one request to an entry instance.
+
+    Raises SpoolcrankError if the instance does not answer with JSON.
+    """
     host, port = split_address(address_of_url(url))
     conn = HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         conn.request(method, path, body, headers)
         res = conn.getresponse()
-        return Told(res.status, json.loads(res.read() or b"{}"))
+        return Response(res.status, json.loads(res.read() or b"{}"))
     except (OSError, HTTPException, ValueError) as exc:
         detail = f"{url} does not answer: {exc}"
         raise SpoolcrankError(Refusal(ErrorKind.PEER_LOST, detail)) from exc
@@ -44,8 +47,8 @@
         conn.close()
 
 
-def command(url: str, words: list[str], command_id: str, by: str) -> Told:
-    """Carry out one command given as the shell's words."""
+def command(url: str, words: list[str], command_id: str, by: str) -> Response:
+    """Send one command, given as the words of the command line."""
     match words:
         case ["submit", path]:
             return submit(url, path, command_id)
@@ -55,16 +58,16 @@
     return send(url, "POST", "/commands", json.dumps(body).encode(), {})
 
 
-def submit(url: str, path: str, key: str) -> Told:
-    """Submit the job of a TOML or JSON file."""
+def submit(url: str, path: str, key: str) -> Response:
+    """Submit the job that a TOML or JSON file describes."""
     text = Path(path).read_text(encoding="utf-8")
     job = json.loads(text) if path.endswith(".json") else tomllib.loads(text)
     headers = {"Idempotency-Key": key} if key else {}
     return send(url, "POST", "/jobs", json.dumps(job).encode(), headers)
 
 
-def config(url: str, what: str, path: str, command_id: str, by: str) -> Told:
-    """Check a configuration file, or publish it over the version in force."""
+def config(url: str, what: str, path: str, command_id: str, by: str) -> Response:
+    """Check a configuration file, or publish it as the successor of the version in force."""
     text = Path(path).read_bytes()
     if what == "check":
         return send(url, "POST", "/config/check", text, {})
@@ -72,9 +75,9 @@
     return send(url, "POST", f"/config{query}", text, {})
 
 
-def render(told: Told, console: Console) -> None:
-    """Show an answer: rows as a table, facts below their sentence."""
-    body = told.body
+def render(response: Response, console: Console) -> None:
+    """Print an answer: rows as a table, and facts below their sentence."""
+    body = response.body
     if "rows" in body:
         _render_rows(body["rows"], console)
     if "sentence" in body:
--- a/spoolcrank/demo.py
+++ b/spoolcrank/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole system in one process over real loopback sockets, and check its promises."""
+"""Run the whole system in one process over loopback sockets and check its invariants."""
 
 import json
 import threading
@@ -23,13 +23,13 @@
 
 ZONES = ("a", "b", "c")
 SERVICE = "quotes"
-_ANY = Address("127.0.0.1:0")
+_ANY_PORT = Address("127.0.0.1:0")
 _ENTRIES_PER_ZONE = 2
 _BACKENDS_PER_ZONE = 2
-_RATE = 30.0
-_READY_S = 30.0
-_FINISH_S = 60.0
-_HTTP_S = 10.0
+_REQUESTS_PER_S = 30.0
+_READY_TIMEOUT_S = 30.0
+_FINISH_TIMEOUT_S = 60.0
+_HTTP_TIMEOUT_S = 10.0
 _SLOWDOWNS = {"noisy": 0.15, "settlement": 0.01}
 
 JOBS: list[dict[str, Any]] = [
@@ -75,7 +75,7 @@
     stops: list[Callable[[], None]] = []
     listed: list[Instance] = []
     log_runtime = Runtime()
-    log = LogStandin(log_runtime, _ANY, 3600.0)
+    log = LogStandin(log_runtime, _ANY_PORT, 3600.0)
     stops.append(log_runtime.run_in_thread())
     backends = []
     for zone in ZONES:
@@ -85,7 +85,7 @@
             backends.append(str(instance.address))
             stops.append(stop)
     list_runtime = Runtime()
-    standin = InstancesStandin(list_runtime, _ANY, listed, 0.0)
+    standin = InstancesStandin(list_runtime, _ANY_PORT, listed, 0.0)
     stops.append(list_runtime.run_in_thread())
     entries = []
     for zone in ZONES:
@@ -94,8 +94,8 @@
             settings = check_entry(
                 instance_id=f"entry-{zone}{number}",
                 availability_zone=zone,
-                listen=_ANY,
-                peer_listen=_ANY,
+                listen=_ANY_PORT,
+                peer_listen=_ANY_PORT,
                 log=f"{log.web.host}:{log.web.port}",
                 instances=f"{standin.web.host}:{standin.web.port}",
             )
@@ -124,7 +124,7 @@
     settings = BackendSettings(
         instance_id=InstanceId(f"backend-{zone}{number}"),
         availability_zone=AvailabilityZone(zone),
-        listen=_ANY,
+        listen=_ANY_PORT,
         capacity=Resources(16, 32_000, 1 if number == 1 else 0),
         service=ServiceName(SERVICE),
         slots=4,
@@ -151,7 +151,7 @@
 
 def _http(method: str, address: str, path: str, body: Any = None) -> tuple[int, Any]:
     host, _, port = address.rpartition(":")
-    conn = HTTPConnection(host, int(port), timeout=_HTTP_S)
+    conn = HTTPConnection(host, int(port), timeout=_HTTP_TIMEOUT_S)
     try:
         conn.request(method, path, json.dumps(body) if body is not None else None)
         res = conn.getresponse()
@@ -164,9 +164,9 @@
     _http("PUT", address, f"/instances/{instance.id}", instance.model_dump(mode="json"))
 
 
-def _wait(condition: Callable[[], bool], limit_s: float) -> bool:
-    ends = time.monotonic() + limit_s
-    while time.monotonic() < ends:
+def _wait(condition: Callable[[], bool], timeout_s: float) -> bool:
+    ends_at = time.monotonic() + timeout_s
+    while time.monotonic() < ends_at:
         try:
             if condition():
                 return True
@@ -177,8 +177,8 @@
 
 
 def _job(entry: str, job: str) -> dict[str, Any]:
-    found: dict[str, Any] = _http("GET", entry, f"/jobs/{job}")[1]
-    return found
+    state: dict[str, Any] = _http("GET", entry, f"/jobs/{job}")[1]
+    return state
 
 
 def _is_ready(entry: str) -> bool:
@@ -186,7 +186,7 @@
 
 
 def run(seconds: float, console: Console) -> int:
-    """Run the demo; returns 0 only if every promise that it can check held."""
+    """Run the demo and return 0 if every invariant that it can check held, otherwise 1."""
     console.print("starting a log, an instance list, 6 backend servers and 6 entry instances")
     fleet = _start()
     try:
@@ -196,46 +196,50 @@
 
 
 def _run(fleet: _Fleet, seconds: float, console: Console) -> int:
-    if not _wait(lambda: all(_is_ready(entry) for entry in fleet.entries), _READY_S):
+    if not _wait(lambda: all(_is_ready(entry) for entry in fleet.entries), _READY_TIMEOUT_S):
         console.print("the entry instances did not become ready", style="red")
         return 1
-    _wait(lambda: all(_journal(one)["owner"] for one in fleet.backends), _READY_S)
-    console.print(f"offering {_RATE:g} requests/s to {SERVICE} and {len(JOBS)} jobs")
+    _wait(lambda: all(_journal(backend)["owner"] for backend in fleet.backends), _READY_TIMEOUT_S)
+    console.print(f"sending {_REQUESTS_PER_S:g} requests/s to {SERVICE} and {len(JOBS)} jobs")
     jobs = {
         job["name"]: load.submit_job(fleet.entries[number % len(fleet.entries)], job)
         for number, job in enumerate(JOBS)
     }
     reports: list[load.LoadReport] = []
-    plan = load.LoadPlan(fleet.entries, SERVICE, _RATE, seconds, keyed_share=0.1)
-    offering = threading.Thread(target=lambda: reports.append(load.offer(plan)))
-    offering.start()
-    _show_progress(fleet, jobs, offering, console)
-    expected = {job["name"]: _expected(job) for job in JOBS}
+    plan = load.LoadPlan(fleet.entries, SERVICE, _REQUESTS_PER_S, seconds, keyed_share=0.1)
+    load_thread = threading.Thread(target=lambda: reports.append(load.offer(plan)))
+    load_thread.start()
+    _show_progress(fleet, jobs, load_thread, console)
+    expected_states = {job["name"]: _expected_state(job) for job in JOBS}
     finished = _wait(
         lambda: all(
             _job(fleet.entries[-1], jobs[name])["state"] == state
-            for name, state in expected.items()
+            for name, state in expected_states.items()
         ),
-        _FINISH_S,
+        _FINISH_TIMEOUT_S,
     )
     breaches = promises.check(
-        [_journal(one) for one in fleet.backends], reports[0].seen, [jobs["premium-notice"]]
+        [_journal(backend) for backend in fleet.backends], reports[0].seen, [jobs["premium-notice"]]
     )
     _show_jobs(fleet, jobs, console)
     load.render(reports[0], console)
     _show_counters(fleet, console)
     if not finished:
-        breaches.append(promises.Breach("work finishes", "a job did not reach its expected state"))
+        breaches.append(
+            promises.Breach("jobs finish", "a job did not reach its expected state in time")
+        )
     if len(reports[0].answered) < 0.95 * len(reports[0].seen):
-        breaches.append(promises.Breach("services answer", "fewer than 95 % were answered"))
+        breaches.append(
+            promises.Breach("services answer", "services answered fewer than 95 % of the requests")
+        )
     for breach in breaches:
-        console.print(f"broken: {breach.promise}: {breach.detail}", style="red")
+        console.print(f"violated: {breach.invariant}: {breach.detail}", style="red")
     if not breaches:
-        console.print("every promise that this demo can check held", style="green")
+        console.print("every invariant that this demo can check held", style="green")
     return 1 if breaches else 0
 
 
-def _expected(job: dict[str, Any]) -> str:
+def _expected_state(job: dict[str, Any]) -> str:
     if job["name"] == "far-too-large":
         return "refused"
     return "running" if job.get("class") == "watcher" else "finished"
@@ -247,30 +251,37 @@
 
 
 def _show_progress(
-    fleet: _Fleet, jobs: dict[str, str], offering: threading.Thread, console: Console
+    fleet: _Fleet, jobs: dict[str, str], load_thread: threading.Thread, console: Console
 ) -> None:
-    while offering.is_alive():
-        offering.join(2.0)
+    while load_thread.is_alive():
+        load_thread.join(2.0)
         states = [_job(fleet.entries[0], job)["state"] for job in jobs.values()]
-        served = sum(len(_journal(one)["requests"]) for one in fleet.backends)
-        done = sum(state == "finished" for state in states)
-        console.print(f"  {served} requests at the runners, {done} of {len(jobs)} jobs finished")
+        request_count = sum(len(_journal(backend)["requests"]) for backend in fleet.backends)
+        finished_count = sum(state == "finished" for state in states)
+        console.print(
+            f"  {request_count} runner requests, {finished_count} of {len(jobs)} jobs finished"
+        )
 
 
 def _show_jobs(fleet: _Fleet, jobs: dict[str, str], console: Console) -> None:
-    journals = [_journal(one) for one in fleet.backends]
+    journals = [_journal(backend) for backend in fleet.backends]
     table = Table("job", "state", "tasks", "starts", "evictions", "why", title="Jobs")
     for name, job in jobs.items():
-        shown = _job(fleet.entries[1], job)
-        runs = [run for one in journals for run in one["runs"] if run["task"].startswith(f"{job}.")]
-        evicted = sum(run["how"] == "evicted" for run in runs)
+        job_state = _job(fleet.entries[1], job)
+        runs = [
+            run
+            for journal in journals
+            for run in journal["runs"]
+            if run["task"].startswith(f"{job}.")
+        ]
+        eviction_count = sum(run["how"] == "evicted" for run in runs)
         table.add_row(
             name,
-            shown["state"],
-            str(len(shown["tasks"])),
+            job_state["state"],
+            str(len(job_state["tasks"])),
             str(len(runs)),
-            str(evicted),
-            shown.get("reason", ""),
+            str(eviction_count),
+            job_state.get("reason", ""),
         )
     console.print(table)
 
--- a/spoolcrank/figures.py
+++ b/spoolcrank/figures.py
@@ -71,7 +71,7 @@
         )
 
         events = CounterMetricFamily(
-            "spoolcrank_events", "Events by the name of their log line", labels=["event"]
+            "spoolcrank_events", "Decisions and changes of belief", labels=["event"]
         )
         for event, count in sorted(self._events.items()):
             events.add_metric([event], count)
@@ -80,7 +80,7 @@
             yield GaugeMetricFamily(f"spoolcrank_{name}", name.replace("_", " "), value=value)
         times = HistogramMetricFamily(
             "spoolcrank_seconds",
-            "Durations of client requests by method and status",
+            "How long things took",
             labels=["what"],
         )
         for name, histogram in sorted(self._times.items()):
--- a/spoolcrank/job_times.py
+++ b/spoolcrank/job_times.py
@@ -1,8 +1,9 @@
-"""Work out from instances' logs where the time of each job went.
+"""Attribute the time of each job to causes, based on the logs of the instances.
 
-The path that decided when a job ended is walked backwards: from the task that ended last over
-its runs and the gaps between them to the step it waited for, and on to the job's acceptance. So
-every second of a job has one cause. A job that never ended is walked from the last line on.
+The critical path of a job is followed backwards: from the task that ended last through its runs
+and the gaps between them to the step that it waited for, and so on to the job's acceptance. Each
+second of a job is attributed to exactly one cause. For a job that never ended, the path starts at
+the time of the last log line.
 """
 
 from bisect import bisect_right
@@ -17,12 +18,15 @@
 from spoolcrank.note_lines import singles
 from spoolcrank.workflow import TaskKey
 
-DECISIONS = frozenset({"job-read", "task-bound", "took-over"})
-"""Nothing was decided between the last of these by one leader and the next one's takeover."""
+LEADER_EVENTS = frozenset({"job-read", "task-bound", "took-over"})
+"""Events that show an active leader.
+
+The time between the last of them and the next leader's takeover counts as time without a leader.
+"""
 
 
 class Cause(Enum):
-    """What a second of a job's time went to."""
+    """The cause that a second of a job's time is attributed to."""
 
     INTAKE = "until a leader read it"
     NO_LEADER = "while nobody led"
@@ -36,7 +40,10 @@
 
 
 class Run(NamedTuple):
-    """One run of a task: when bound, how long until it started, when and how its end was noted."""
+    """One run of a task: its binding, its start and its logged end.
+
+    `start_s` is the time from the binding to the start, in seconds.
+    """
 
     bound_at: float
     ended_at: float
@@ -64,26 +71,29 @@
 UNFINISHED = "unfinished"
 """Phase of a job that has no end in the logs."""
 
-MEASURED = frozenset({"completed", UNFINISHED})
-"""Phases whose time is accounted for; a cancelled job's end says nothing of the scheduler."""
+MEASURED_PHASES = frozenset({"completed", UNFINISHED})
+"""Phases of the jobs whose time is attributed.
+
+The end of a cancelled job says nothing about the scheduler.
+"""
 
 
 class JobTimes(NamedTuple):
     """One job that completed or never ended.
 
     Attributes:
-        job: its id.
-        queue: it came in by.
-        took_s: from its acceptance to its end, or to the last line.
-        objective_s: within what time it should have finished, as the leader reckoned.
-        seconds: by cause; they add up to `took_s`.
-        phase: "completed" or "unfinished".
-        images: of its steps.
+        job: The id of the job.
+        queue: The queue that the job was submitted to.
+        duration_s: The time from its acceptance to its end, or to the last log line.
+        objective_s: The time within which the leader expected it to finish.
+        seconds: The seconds of each cause, which add up to `duration_s`.
+        phase: Either "completed" or "unfinished".
+        images: The images of its steps.
     """
 
     job: JobId
     queue: str
-    took_s: float
+    duration_s: float
     objective_s: float
     seconds: dict[Cause, float]
     phase: str
@@ -91,31 +101,31 @@
 
 
 def job_times(lines: Iterable[Line]) -> list[JobTimes]:
-    """Return where the time of each job that completed or never ended went."""
+    """Return the time of each job that completed or never ended, by cause."""
     ordered = sorted(lines, key=lambda line: line.at)
     jobs: dict[JobId, _Job] = defaultdict(_Job)
     for line in ordered:
-        _take(jobs, line)
+        _record_line(jobs, line)
     for job in jobs.values():
-        _close(job, ordered[-1].at)
-    leaderless = _leaderless(ordered)
+        _end_unfinished(job, ordered[-1].at)
+    leaderless = _leaderless_spans(ordered)
     return [
         JobTimes(
             job_id,
             job.queue,
             job.ended_at - job.accepted_at,
             job.objective_s,
-            _walk(job, leaderless),
+            _seconds_by_cause(job, leaderless),
             job.phase,
             tuple(job.images),
         )
         for job_id, job in jobs.items()
-        if job.phase in MEASURED and job.accepted_at >= 0 and job.read_at >= 0
+        if job.phase in MEASURED_PHASES and job.accepted_at >= 0 and job.read_at >= 0
     ]
 
 
-def _close(job: _Job, last_at: float) -> None:
-    """Let what has no end yet count up to the last line."""
+def _end_unfinished(job: _Job, last_at: float) -> None:
+    """End an unfinished job and its open runs at the time of the last log line."""
     if job.phase:
         return
     job.phase = UNFINISHED
@@ -124,15 +134,15 @@
         job.runs[key].append(Run(bound_at, last_at, UNFINISHED))
 
 
-def _take(jobs: dict[JobId, _Job], line: Line) -> None:
+def _record_line(jobs: dict[JobId, _Job], line: Line) -> None:
     fields = line.fields
     if "task" in fields or "step" in fields:
         for single in singles(line.fields):
-            _take_task(jobs, _decided(line, single))
+            _record_task_line(jobs, _at_decision_time(line, single))
         return
     if "job" not in fields:
         return
-    line = _decided(line, fields)
+    line = _at_decision_time(line, fields)
     job = jobs[JobId(str(fields["job"]))]
     if line.event == "job-accepted" and job.accepted_at < 0:
         job.accepted_at = line.at
@@ -146,14 +156,14 @@
         job.ended_at, job.phase = line.at, str(fields["phase"])
 
 
-def _decided(line: Line, fields: dict[str, Any]) -> Line:
-    """Return a line as if it had been written when its decision was made."""
+def _at_decision_time(line: Line, fields: dict[str, Any]) -> Line:
+    """Return a line with the time of its decision, which is `ago_ms` before it was written."""
     return line._replace(at=line.at - float(fields.get("ago_ms", 0.0)) / 1000.0, fields=fields)
 
 
-def _take_task(jobs: dict[JobId, _Job], line: Line) -> None:
-    name = line.fields["task"]
-    key = TaskKey(JobId(str(name[0])), int(name[1]), int(name[2]), int(name[3]))
+def _record_task_line(jobs: dict[JobId, _Job], line: Line) -> None:
+    parts = line.fields["task"]
+    key = TaskKey(JobId(str(parts[0])), int(parts[1]), int(parts[2]), int(parts[3]))
     job = jobs[key.job]
     if line.event == "task-bound":
         job.bound[key] = line.at
@@ -168,12 +178,12 @@
             job.runs[key].append(Run(bound_at, line.at, how, max(0.0, start_s)))
 
 
-def _leaderless(lines: Iterable[Line]) -> list[tuple[float, float]]:
-    """Return the times between the last line of a leader and the first of the next."""
+def _leaderless_spans(lines: Iterable[Line]) -> list[tuple[float, float]]:
+    """Return the spans between the last event of a leader and the takeover by the next one."""
     spans = []
     last: Line | None = None
     for line in lines:
-        if line.event not in DECISIONS:
+        if line.event not in LEADER_EVENTS:
             continue
         if line.event == "took-over" and last is not None and last.at < line.at:
             spans.append((last.at, line.at))
@@ -181,40 +191,40 @@
     return spans
 
 
-def _walk(job: _Job, leaderless: list[tuple[float, float]]) -> dict[Cause, float]:
-    """Return the seconds of a job by cause, along the path that decided its end."""
+def _seconds_by_cause(job: _Job, leaderless: list[tuple[float, float]]) -> dict[Cause, float]:
+    """Return the seconds of a job by cause, along its critical path."""
     seconds: dict[Cause, float] = defaultdict(float)
     key = _last_task(job, range(len(job.after)))
     until = job.ended_at
     if job.phase == UNFINISHED:
-        # What came after the last run of all was a wait for the next place.
+        # The time after the last run counts as a wait for the next placement.
         last_at = job.runs[key][-1].ended_at if key is not None else job.read_at
-        _wait(seconds, Cause.PLACE, last_at, until, leaderless)
+        _add_wait(seconds, Cause.PLACE, last_at, until, leaderless)
         until = last_at
     while key is not None:
-        ready_at, before = _ready(job, key)
-        until = _walk_task(job, key, ready_at, until, seconds, leaderless)
-        key = before
-    _wait(seconds, Cause.INTAKE, job.accepted_at, until, leaderless)
+        ready_at, predecessor = _ready(job, key)
+        until = _add_task(job, key, ready_at, until, seconds, leaderless)
+        key = predecessor
+    _add_wait(seconds, Cause.INTAKE, job.accepted_at, until, leaderless)
     return dict(seconds)
 
 
 def _last_task(job: _Job, steps: Iterable[int]) -> TaskKey | None:
-    """Return the task of some steps whose last run ended last."""
-    wanted = set(steps)
-    ends = [(runs[-1].ended_at, key) for key, runs in job.runs.items() if key.step in wanted]
+    """Return the task of the given steps whose last run ended last, or None without any run."""
+    step_numbers = set(steps)
+    ends = [(runs[-1].ended_at, key) for key, runs in job.runs.items() if key.step in step_numbers]
     return max(ends)[1] if ends else None
 
 
 def _ready(job: _Job, key: TaskKey) -> tuple[float, TaskKey | None]:
-    """Return when a task's turn came, and the task that it had waited for."""
-    before = _last_task(job, job.after[key.step]) if key.step < len(job.after) else None
-    if before is None:
+    """Return when a task became ready to run, and the task whose end it had waited for."""
+    predecessor = _last_task(job, job.after[key.step]) if key.step < len(job.after) else None
+    if predecessor is None:
         return job.read_at, None
-    return job.runs[before][-1].ended_at, before
+    return job.runs[predecessor][-1].ended_at, predecessor
 
 
-def _walk_task(
+def _add_task(
     job: _Job,
     key: TaskKey,
     ready_at: float,
@@ -222,39 +232,44 @@
     seconds: dict[Cause, float],
     leaderless: list[tuple[float, float]],
 ) -> float:
-    """Count one task's time up to `until` backwards; returns when its turn had come."""
+    """Add the time of one task before `until` to `seconds`, from the last run backwards.
+
+    Returns the time at which the task became ready to run, or `until` if that is earlier.
+    """
     runs = [run for run in job.runs[key] if run.bound_at < until]
     for number in range(len(runs) - 1, -1, -1):
         run = runs[number]
         ended_at = min(run.ended_at, until)
-        _wait(seconds, Cause.WORK, ended_at, until, leaderless)
-        _run(job, key, run, ended_at, seconds)
-        before = runs[number - 1] if number else None
-        since = ready_at if before is None else before.ended_at
-        stopped = before is not None and before.how == "stopped"
+        _add_wait(seconds, Cause.WORK, ended_at, until, leaderless)
+        _add_run(job, key, run, ended_at, seconds)
+        previous = runs[number - 1] if number else None
+        since = ready_at if previous is None else previous.ended_at
+        stopped = previous is not None and previous.how == "stopped"
         cause = Cause.MOVED if stopped else Cause.PLACE
         until = min(max(since, ready_at), run.bound_at)
-        _wait(seconds, cause, until, run.bound_at, leaderless)
+        _add_wait(seconds, cause, until, run.bound_at, leaderless)
     return min(until, ready_at)
 
 
-def _run(job: _Job, key: TaskKey, run: Run, ended_at: float, seconds: dict[Cause, float]) -> None:
-    """Count the time of one run."""
-    in_all = ended_at - run.bound_at
+def _add_run(
+    job: _Job, key: TaskKey, run: Run, ended_at: float, seconds: dict[Cause, float]
+) -> None:
+    """Add the time of one run to `seconds`."""
+    total_s = ended_at - run.bound_at
     if run.how == "failed":
-        seconds[Cause.FAILED] += in_all
+        seconds[Cause.FAILED] += total_s
     elif run.how not in ("done", "stopped", UNFINISHED):
-        seconds[Cause.LOST] += in_all
+        seconds[Cause.LOST] += total_s
     else:
         started_at = min(run.bound_at + run.start_s, ended_at)
-        at_work = _at_pace(job.paces[key], started_at, ended_at)
+        work_s = _paced_time(job.paces[key], started_at, ended_at)
         seconds[Cause.START] += started_at - run.bound_at
-        seconds[Cause.WORK] += at_work
-        seconds[Cause.PACE] += ended_at - started_at - at_work
+        seconds[Cause.WORK] += work_s
+        seconds[Cause.PACE] += ended_at - started_at - work_s
 
 
-def _at_pace(paces: list[tuple[float, float]], since: float, until: float) -> float:
-    """Return the time of a span weighted by the pace in force."""
+def _paced_time(paces: list[tuple[float, float]], since: float, until: float) -> float:
+    """Return the length of a span, weighted by the pace of each part of it."""
     first = max(0, bisect_right(paces, (since, 2.0)) - 1)
     total = 0.0
     for number in range(first, len(paces)):
@@ -264,17 +279,19 @@
     return total
 
 
-def _wait(
+def _add_wait(
     seconds: dict[Cause, float],
     cause: Cause,
     since: float,
     until: float,
     leaderless: list[tuple[float, float]],
 ) -> None:
-    """Count a wait, the part without a leader apart."""
+    """Add a wait to `seconds`; its part without a leader counts as `NO_LEADER`."""
     if until <= since:
         return
-    without = sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in leaderless)
-    without = min(without, until - since)
-    seconds[Cause.NO_LEADER] += without
-    seconds[cause] += until - since - without
+    without_leader_s = sum(
+        max(0.0, min(end, until) - max(begin, since)) for begin, end in leaderless
+    )
+    without_leader_s = min(without_leader_s, until - since)
+    seconds[Cause.NO_LEADER] += without_leader_s
+    seconds[cause] += until - since - without_leader_s
--- a/spoolcrank/load.py
+++ b/spoolcrank/load.py
@@ -1,4 +1,4 @@
-"""Offer callers' requests and jobs at a set rate and check every answer."""
+"""Generate load: send requests and jobs at a fixed rate and check every answer."""
 
 import json
 import queue
@@ -17,24 +17,24 @@
 from spoolcrank.ids import unique
 
 _THREADS = 96
-_HIGHEST_US = 120_000_000
-_DIGITS = 3
+_MAX_LATENCY_US = 120_000_000
+_SIGNIFICANT_DIGITS = 3
 _PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 _TIMEOUT_S = 30.0
-URGENT = 9
-ORDINARY = 3
+HIGH_URGENCY = 9
+NORMAL_URGENCY = 3
 
 
 class LoadPlan(NamedTuple):
-    """What to offer.
+    """The load to generate.
 
     Attributes:
-        rate: requests a second, over all entry instances.
-        keyed_share: share of requests with an idempotency key, marked not to be repeated.
-        urgent_share: share of requests of the highest urgency.
-        job_rate: jobs a second.
-        job: the job to submit, as `POST /jobs` takes it.
-        retry: whether a request refused as not run is sent again, as its answer allows.
+        rate: Requests per second, over all entry instances.
+        keyed_share: Share of requests with an idempotency key, which are marked not repeatable.
+        urgent_share: Share of requests of the highest urgency.
+        job_rate: Jobs per second.
+        job: The job to submit, as the body of `POST /jobs`.
+        retry: Whether to resend a refused request whose answer says that it did not run.
     """
 
     entries: list[str]
@@ -50,12 +50,14 @@
     seed: int = 1
 
 
-class Seen(NamedTuple):
-    """One request as its caller saw it.
+class RequestResult(NamedTuple):
+    """The result of one request as its caller recorded it.
 
     Attributes:
-        outcome: `ok`, or the error kind of a refusal, or what went wrong in transport.
-        told: what the answer says of the request: ran, not-run, unknown.
+        outcome: `ok`, the error kind of a refusal, or the kind of the transport error.
+        told: What the answer says about the request: `ran`, `not-run` or `unknown`.
+        whole: Whether the answer is complete and belongs to this request; for a refusal, whether it
+            has a request id.
     """
 
     nonce: str
@@ -70,34 +72,37 @@
 
 
 class LoadReport:
-    """Everything that callers saw."""
+    """The results of all requests and job submissions of one load."""
 
     def __init__(self) -> None:
-        self.seen: list[Seen] = []
+        self.seen: list[RequestResult] = []
         self.jobs: list[str] = []
         self.jobs_refused = 0
 
     @property
-    def answered(self) -> list[Seen]:
-        """Return the requests that got the service's answer."""
-        return [one for one in self.seen if one.outcome == "ok"]
+    def answered(self) -> list[RequestResult]:
+        """The results of the requests that the service answered."""
+        return [result for result in self.seen if result.outcome == "ok"]
 
     @property
-    def broken(self) -> list[Seen]:
-        """Return the answers that were a piece, or somebody else's."""
-        return [one for one in self.seen if not one.whole]
+    def broken(self) -> list[RequestResult]:
+        """The results whose answer was incomplete or belonged to another request."""
+        return [result for result in self.seen if not result.whole]
 
     def percentiles(self, urgent: bool | None = None) -> dict[str, float]:
-        """Return latency percentiles of answered requests, in milliseconds."""
-        histogram = HdrHistogram(1, _HIGHEST_US, _DIGITS)
-        for one in self.answered:
-            if urgent is None or one.urgent == urgent:
-                histogram.record_value(max(1, int(one.latency_s * 1e6)))
+        """Return the latency percentiles of the answered requests, in milliseconds.
+
+        `urgent` selects the urgent or the other requests; None selects all.
+        """
+        histogram = HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
+        for result in self.answered:
+            if urgent is None or result.urgent == urgent:
+                histogram.record_value(max(1, int(result.latency_s * 1e6)))
         return {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in _PERCENTILES}
 
     def outcomes(self) -> dict[str, int]:
-        """Return how often each outcome was seen."""
-        return dict(Counter(one.outcome for one in self.seen))
+        """Return the number of requests with each outcome."""
+        return dict(Counter(result.outcome for result in self.seen))
 
     def summary(self) -> dict[str, Any]:
         """Return the report as plain JSON values."""
@@ -114,7 +119,7 @@
 
 
 class _Sender:
-    """One thread that sends requests over its own connections."""
+    """One thread that sends requests over its own persistent connections."""
 
     def __init__(self, plan: LoadPlan, report: LoadReport, lock: threading.Lock) -> None:
         self._plan = plan
@@ -122,45 +127,55 @@
         self._lock = lock
         self._conns: dict[str, HTTPConnection] = {}
 
-    def run(self, work: "queue.Queue[_Due | None]") -> None:
-        while (due := work.get()) is not None:
-            seen = self._send(due)
-            while self._plan.retry and seen.told == "not-run" and self._may_retry(due):
+    def run(self, work: "queue.Queue[_ScheduledRequest | None]") -> None:
+        while (request := work.get()) is not None:
+            result = self._send(request)
+            while self._plan.retry and result.told == "not-run" and self._may_retry(request):
                 time.sleep(0.05)
-                seen = self._send(due)
+                result = self._send(request)
             with self._lock:
-                self._report.seen.append(seen)
+                self._report.seen.append(result)
 
-    def _may_retry(self, due: "_Due") -> bool:
-        return time.time() - due.at < self._plan.deadline_ms / 1000
+    def _may_retry(self, request: "_ScheduledRequest") -> bool:
+        return time.time() - request.at < self._plan.deadline_ms / 1000
 
-    def _send(self, due: "_Due") -> Seen:
+    def _send(self, request: "_ScheduledRequest") -> RequestResult:
         headers = {
             "Spoolcrank-Deadline-Ms": str(self._plan.deadline_ms),
-            "Spoolcrank-Urgency": str(URGENT if due.urgent else ORDINARY),
-            "Spoolcrank-Repeatable": "no" if due.key else "yes",
+            "Spoolcrank-Urgency": str(HIGH_URGENCY if request.urgent else NORMAL_URGENCY),
+            "Spoolcrank-Repeatable": "no" if request.key else "yes",
         }
-        if due.key:
-            headers["Idempotency-Key"] = due.key
-        outcome, told, request_id, whole = "no-connection", "unknown", "", True
+        if request.key:
+            headers["Idempotency-Key"] = request.key
+        outcome, run_status, request_id, whole = "no-connection", "unknown", "", True
         for _ in range(2):
-            conn, fresh = self._connection(due.entry)
+            conn, is_new = self._connection(request.entry)
             try:
-                conn.request("POST", f"/services/{self._plan.service}/", due.nonce, headers)
+                conn.request("POST", f"/services/{self._plan.service}/", request.nonce, headers)
                 res = conn.getresponse()
                 body = res.read()
                 request_id = res.headers.get("Spoolcrank-Request-Id", "")
-                outcome, told, whole = _judge(res.status, res.headers, body, due, request_id)
+                outcome, run_status, whole = _classify_answer(
+                    res.status, res.headers, body, request, request_id
+                )
                 break
             except (OSError, HTTPException) as exc:
                 conn.close()
-                self._conns.pop(due.entry, None)
+                self._conns.pop(request.entry, None)
                 outcome = type(exc).__name__
-                if fresh or not isinstance(exc, ConnectionError | HTTPException):
+                if is_new or not isinstance(exc, ConnectionError | HTTPException):
                     break
-        latency_s = time.time() - due.at
-        return Seen(
-            due.nonce, due.key, request_id, outcome, told, whole, due.urgent, due.at, latency_s
+        latency_s = time.time() - request.at
+        return RequestResult(
+            request.nonce,
+            request.key,
+            request_id,
+            outcome,
+            run_status,
+            whole,
+            request.urgent,
+            request.at,
+            latency_s,
         )
 
     def _connection(self, entry: str) -> tuple[HTTPConnection, bool]:
@@ -173,21 +188,22 @@
         return conn, True
 
 
-def _judge(
-    status: int, headers: Any, body: bytes, due: "_Due", request_id: str
+def _classify_answer(
+    status: int, headers: Any, body: bytes, request: "_ScheduledRequest", request_id: str
 ) -> tuple[str, str, bool]:
+    """Return the outcome, what the answer says about the request, and whether it is whole."""
     kind = headers.get("Spoolcrank-Error")
     if kind:
         return kind, headers.get("Spoolcrank-Outcome", "unknown"), bool(request_id)
     try:
         answer = json.loads(body)
-        whole = answer["body"] == due.nonce and answer["request_id"] == request_id
+        whole = answer["body"] == request.nonce and answer["request_id"] == request_id
     except (ValueError, KeyError, TypeError):
         return f"status-{status}", "ran", False
     return "ok", "ran", whole
 
 
-class _Due(NamedTuple):
+class _ScheduledRequest(NamedTuple):
     nonce: str
     key: str
     entry: str
@@ -196,10 +212,13 @@
 
 
 def offer(plan: LoadPlan, stop: threading.Event | None = None) -> LoadReport:
-    """Offer the load; blocks until every request has its answer."""
+    """Generate the load, and return the report once every request has its result.
+
+    Setting `stop` ends the load early.
+    """
     report = LoadReport()
     lock = threading.Lock()
-    work: queue.Queue[_Due | None] = queue.Queue()
+    work: queue.Queue[_ScheduledRequest | None] = queue.Queue()
     threads = [
         threading.Thread(target=_Sender(plan, report, lock).run, args=(work,), daemon=True)
         for _ in range(_THREADS)
@@ -218,28 +237,28 @@
 
 
 def _schedule(
-    plan: LoadPlan, work: "queue.Queue[_Due | None]", stop: threading.Event | None
+    plan: LoadPlan, work: "queue.Queue[_ScheduledRequest | None]", stop: threading.Event | None
 ) -> None:
     rand = random.Random(plan.seed)
-    began = time.time()
-    at = began
+    started_at = time.time()
+    at = started_at
     number = 0
-    while at < began + plan.duration_s and not (stop is not None and stop.is_set()):
+    while at < started_at + plan.duration_s and not (stop is not None and stop.is_set()):
         at += rand.expovariate(plan.rate)
         time.sleep(max(0.0, at - time.time()))
         key = unique("key") if rand.random() < plan.keyed_share else ""
         urgent = rand.random() < plan.urgent_share
         entry = plan.entries[number % len(plan.entries)]
-        work.put(_Due(unique("nonce"), key, entry, urgent, at))
+        work.put(_ScheduledRequest(unique("nonce"), key, entry, urgent, at))
         number += 1
 
 
 def _offer_jobs(plan: LoadPlan, report: LoadReport, stop: threading.Event | None) -> None:
     if plan.job_rate <= 0:
         return
-    ends = time.time() + plan.duration_s
+    ends_at = time.time() + plan.duration_s
     number = 0
-    while time.time() < ends and not (stop is not None and stop.is_set()):
+    while time.time() < ends_at and not (stop is not None and stop.is_set()):
         job = submit_job(plan.entries[number % len(plan.entries)], plan.job)
         if job:
             report.jobs.append(job)
@@ -250,7 +269,7 @@
 
 
 def submit_job(entry: str, job: dict[str, Any]) -> str:
-    """Submit one job and return its id, empty when it was refused."""
+    """Submit one job and return its id, or an empty string if it was not accepted."""
     host, port = split_address(address_of_url(entry))
     conn = HTTPConnection(host, port, timeout=_TIMEOUT_S)
     try:
@@ -265,11 +284,11 @@
 
 
 def render(report: LoadReport, console: Console) -> None:
-    """Show what callers saw as tables."""
-    table = Table("outcome", "requests", title="What callers saw")
+    """Print the results as tables."""
+    table = Table("outcome", "requests", title="Results of the requests")
     for outcome, count in sorted(report.outcomes().items(), key=lambda item: -item[1]):
         table.add_row(outcome, str(count))
-    table.add_row("piece of an answer, or a foreign one", str(len(report.broken)))
+    table.add_row("incomplete answer, or that of another request", str(len(report.broken)))
     console.print(table)
     latency = Table("percentile", "all, ms", "urgent, ms", title="Latency of answered requests")
     urgent = report.percentiles(urgent=True)
--- a/spoolcrank/log_search.py
+++ b/spoolcrank/log_search.py
@@ -1,14 +1,14 @@
-"""Join the log lines of several instances that concern one job, request or runner."""
+"""Find the log lines of several instances about one job, request or runner, in time order."""
 
 import json
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-_HIDDEN = frozenset({"timestamp", "message_type", "instance"})
+_HEADER_FIELDS = frozenset({"timestamp", "message_type", "instance"})
 
 
 class Line(NamedTuple):
-    """One log line: when it was written, by whom, what happened, and what decided it."""
+    """One log line: its time, the instance that wrote it, its event name and its other fields."""
 
     at: float
     instance: str
@@ -16,23 +16,26 @@
     fields: dict[str, Any]
 
     def text(self) -> str:
-        """Return the fields as one line."""
+        """Return the fields as `name=value` pairs, separated by spaces."""
         return " ".join(f"{name}={value}" for name, value in self.fields.items())
 
 
-def lines_about(wanted: str, texts: Iterable[str]) -> list[Line]:
-    """Return the lines that name `wanted` in any field, in order of time.
+def lines_about(query: str, texts: Iterable[str]) -> list[Line]:
+    """Return the lines that contain `query` in any field, in time order.
 
     Args:
-        wanted: the id of a job, a runner, an instance or part of a path.
-        texts: log lines; what stands before the first brace of each is passed over.
+        query: The id of a job, runner or instance, or a part of a path.
+        texts: The log lines. Text before the first brace of a line is ignored.
     """
-    found = [line for line in parsed(texts) if _names(line, wanted)]
-    return sorted(found, key=lambda line: line.at)
+    matches = [line for line in parse_lines(texts) if _matches(line, query)]
+    return sorted(matches, key=lambda line: line.at)
 
 
-def parsed(texts: Iterable[str]) -> Iterator[Line]:
-    """Yield the log lines among some texts; what stands before the first brace is passed over."""
+def parse_lines(texts: Iterable[str]) -> Iterator[Line]:
+    """Parse log lines and skip texts that are not log lines.
+
+    Text before the first brace of a line is ignored.
+    """
     for text in texts:
         begin = text.find("{")
         if begin < 0:
@@ -42,18 +45,18 @@
         except ValueError:
             continue
         if isinstance(raw, dict) and "message_type" in raw:
-            fields = {name: value for name, value in raw.items() if name not in _HIDDEN}
+            fields = {name: value for name, value in raw.items() if name not in _HEADER_FIELDS}
             event, instance = str(raw["message_type"]), str(raw.get("instance", ""))
             yield Line(float(raw.get("timestamp", 0.0)), instance, event, fields)
 
 
-def _names(line: Line, wanted: str) -> bool:
-    return any(_holds(value, wanted) for value in line.fields.values())
+def _matches(line: Line, query: str) -> bool:
+    return any(_contains(value, query) for value in line.fields.values())
 
 
-def _holds(value: Any, wanted: str) -> bool:
+def _contains(value: Any, query: str) -> bool:
     if isinstance(value, str):
-        return wanted in value
+        return query in value
     if isinstance(value, list):
-        return any(_holds(one, wanted) for one in value)
+        return any(_contains(item, query) for item in value)
     return False
--- a/spoolcrank/replay.py
+++ b/spoolcrank/replay.py
@@ -1,4 +1,4 @@
-"""Feed a recorded trace to the decisions and check that they decide as stated."""
+"""Replay a recorded trace and check that the core makes the decisions in the trace."""
 
 import base64
 import json
@@ -20,49 +20,52 @@
 from spoolcrank.membership import Heartbeat, Members
 from spoolcrank.records import Entry, parse_envelope
 from spoolcrank.state import Core, CoreAction, new_core
-from spoolcrank.trace import words
+from spoolcrank.trace import describe_action
 from spoolcrank.worker import Refused, Report
 
 
 class Difference(NamedTuple):
-    """A line of a trace at which the decisions were not as stated."""
+    """A line of a trace for which the replay made other decisions than the trace records."""
 
     line: int
-    stated: list[str]
-    decided: list[str]
+    recorded: list[str]
+    replayed: list[str]
 
 
-class Replayed(NamedTuple):
-    """What a replay came to."""
+class ReplayResult(NamedTuple):
+    """The number of inputs and decisions of a replay, and the differences from the trace."""
 
-    inputs: int
-    decided: int
+    input_count: int
+    decision_count: int
     differences: list[Difference]
 
 
-def replay(lines: Iterable[str]) -> Replayed:
-    """Replay a trace; raises ValueError or KeyError where it cannot be read."""
+def replay(lines: Iterable[str]) -> ReplayResult:
+    """Replay the lines of a trace.
+
+    Raises ValueError or KeyError if a line cannot be read.
+    """
     core: Core | None = None
-    inputs = decided = 0
+    input_count = decision_count = 0
     differences = []
     for number, text in enumerate(lines, 1):
         line = json.loads(text)
         if core is None:
-            core = _begin(line)
+            core = _new_core(line)
             continue
-        out = [words(action) for action in _feed(core, line["t"], line["in"])]
-        inputs += 1
-        decided += len(out)
+        out = [describe_action(action) for action in _apply_input(core, line["t"], line["in"])]
+        input_count += 1
+        decision_count += len(out)
         if out != line["out"]:
             differences.append(Difference(number, line["out"], out))
-    return Replayed(inputs, decided, differences)
+    return ReplayResult(input_count, decision_count, differences)
 
 
-ALL_SLOTS = 1 << 20
-"""Above the slots of any runner."""
+MORE_THAN_ALL_SLOTS = 1 << 20
+"""Number of busy slots that exceeds the slot count of every runner."""
 
 
-def _begin(header: dict[str, Any]) -> Core:
+def _new_core(header: dict[str, Any]) -> Core:
     members = Members(
         InstanceId(header["me"]),
         Incarnation(header["incarnation"]),
@@ -72,65 +75,71 @@
     return new_core(members)
 
 
-def _feed(core: Core, now: float, told: dict[str, Any]) -> list[CoreAction]:
-    match told["kind"]:
+def _apply_input(core: Core, now: float, trace_input: dict[str, Any]) -> list[CoreAction]:
+    match trace_input["kind"]:
         case "tick":
-            return _tick(core, now, told)
+            return _tick(core, now, trace_input)
         case "entry":
-            envelope = parse_envelope(told["envelope"])
-            return decisions.on_entry(core, Entry(Offset(told["offset"]), envelope), now)
+            envelope = parse_envelope(trace_input["envelope"])
+            return decisions.on_entry(core, Entry(Offset(trace_input["offset"]), envelope), now)
         case "report":
-            report = Report.model_validate(told["report"])
-            server = InstanceId(told["server"])
-            return decisions.on_report(core, server, report, told["sent_at"], now)
+            report = Report.model_validate(trace_input["report"])
+            server = InstanceId(trace_input["server"])
+            return decisions.on_report(core, server, report, trace_input["sent_at"], now)
         case "ledger":
-            return decisions.replace_ledger(core, load(told["ledger"]), now)
+            return decisions.replace_ledger(core, load(trace_input["ledger"]), now)
         case "refused":
-            refused = Refused.model_validate(told["refused"])
-            return decisions.on_refused(core, InstanceId(told["server"]), refused, now)
+            refused = Refused.model_validate(trace_input["refused"])
+            return decisions.on_refused(core, InstanceId(trace_input["server"]), refused, now)
         case "handover":
-            server = InstanceId(told["server"])
-            return tenure.on_handover(core, server, told["epoch"], told["busy"], now)
-    _learn(core, now, told)
+            server = InstanceId(trace_input["server"])
+            return tenure.on_handover(core, server, trace_input["epoch"], trace_input["busy"], now)
+    _apply_observation(core, now, trace_input)
     return []
 
 
-def _tick(core: Core, now: float, told: dict[str, Any]) -> list[CoreAction]:
-    rates = told["rates"]
+def _tick(core: Core, now: float, trace_input: dict[str, Any]) -> list[CoreAction]:
+    rates = trace_input["rates"]
     core.service_rate = lambda service: float(rates.get(service, 0.0))
-    # Older traces say nothing of it: all slots of each runner were set aside then.
-    busy = told.get("busy")
-    core.busy_slots = lambda server: int(busy.get(server, 0)) if busy is not None else ALL_SLOTS
+    # Older traces have no `busy` field. When they were recorded, the core reserved all slots of
+    # each runner.
+    busy = trace_input.get("busy")
+    core.busy_slots = lambda server: (
+        int(busy.get(server, 0)) if busy is not None else MORE_THAN_ALL_SLOTS
+    )
     for server, owned in core.owned.items():
-        owned.waiting = int(told["waiting"].get(server, 0))
-    return decisions.tick(core, now, told["wall"])
+        owned.waiting = int(trace_input["waiting"].get(server, 0))
+    return decisions.tick(core, now, trace_input["wall"])
 
 
-def _learn(core: Core, now: float, told: dict[str, Any]) -> None:
-    match told["kind"]:
+def _apply_observation(core: Core, now: float, trace_input: dict[str, Any]) -> None:
+    match trace_input["kind"]:
         case "list":
-            listed = [Instance.model_validate(one) for one in told["instances"]]
+            listed = [Instance.model_validate(instance) for instance in trace_input["instances"]]
             membership.on_list(core.members, listed, now)
         case "beat":
-            frame = _wire.FrameReader().feed(base64.b64decode(told["frame"]))[0]
+            frame = _wire.FrameReader().feed(base64.b64decode(trace_input["frame"]))[0]
             if isinstance(frame.message, Heartbeat):
                 decisions.on_heartbeat(core, frame.message, now)
         case "read":
-            decisions.on_log_read(core, told["asked_at"])
+            decisions.on_log_read(core, trace_input["asked_at"])
         case "log-failed":
             decisions.on_log_failed(core, now)
         case "silent":
-            decisions.on_silence(core, InstanceId(told["server"]), now)
+            decisions.on_silence(core, InstanceId(trace_input["server"]), now)
         case "latency":
-            core.learnt.on_latency(InstanceId(told["server"]), told["latency_s"], now)
+            core.learnt.on_latency(InstanceId(trace_input["server"]), trace_input["latency_s"], now)
         case "config":
-            core.policy = policy.parse(told["toml"]).value_or(core.policy)
-            core.config_version = ConfigVersion(told["version"])
+            core.policy = policy.parse(trace_input["toml"]).value_or(core.policy)
+            core.config_version = ConfigVersion(trace_input["version"])
         case other:
-            raise ValueError(f"unknown input {other!r}")
+            raise ValueError(f"unknown kind of trace input: {other!r}")
 
 
 def rates_of(core: Core) -> dict[str, float]:
-    """Return the request rates that a tick may use, by service."""
-    services = {one.service for one in core.members.listed.values() if one.service}
+    """Return the request rate of every service of a listed instance, by service name.
+
+    A trace stores them with each tick, because the core may use any of them there.
+    """
+    services = {instance.service for instance in core.members.listed.values() if instance.service}
     return {str(name): core.service_rate(ServiceName(name)) for name in sorted(services)}
--- a/spoolcrank/settings.py
+++ b/spoolcrank/settings.py
@@ -1,4 +1,4 @@
-"""Check a daemon's settings at start, all of them at once."""
+"""Validate the settings of a daemon at its start and report all invalid ones together."""
 
 import ipaddress
 from typing import Annotated
@@ -29,7 +29,7 @@
 
 
 class EntrySettings(BaseModel):
-    """What an entry instance is started with."""
+    """The settings that an entry instance is started with."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -46,7 +46,10 @@
 
 
 def check_entry(**values: object) -> EntrySettings:
-    """Return checked settings; raises SettingsError naming every bad one."""
+    """Return the validated settings.
+
+    Raises SettingsError, which names every invalid setting.
+    """
     try:
         return EntrySettings.model_validate(values)
     except ValidationError as exc:
--- a/spoolcrank/standin_backend.py
+++ b/spoolcrank/standin_backend.py
@@ -1,6 +1,6 @@
-"""Stand in for a backend server instance: a worker and, with a service, a runner.
+"""Simulate a backend server instance: a worker and, with a service, a runner.
 
-Its batch tasks slow its runner by a stated table, which the system under test never sees.
+Its batch tasks slow down its runner according to a table that the system under test cannot see.
 """
 
 import random
@@ -18,14 +18,14 @@
 from spoolcrank.resources import Resources
 from spoolcrank.worker import BY_PATH, Refused
 
-_ADVANCE_S = 0.02
-_JITTER = 0.2
+_ADVANCE_INTERVAL_S = 0.02
+_SERVICE_TIME_JITTER = 0.2
 _SLOT_PROCESSORS = 1.0
 _SLOT_MEMORY_MB = 256.0
 
 
 class BackendSettings(NamedTuple):
-    """What one stand-in is started with."""
+    """The settings that one stand-in is started with."""
 
     instance_id: InstanceId
     availability_zone: AvailabilityZone
@@ -42,7 +42,14 @@
 
 
 class BackendFaults(BaseModel):
-    """Faults to order: `silent` answers nothing but the journal, `slow` stretches the runner."""
+    """Faults that a test can inject.
+
+    Attributes:
+        silent: Leave all requests unanswered, except those for the journal and the faults.
+        runner_errors: Answer all requests to the service with status 500.
+        stretch: Factor on the service time of the runner.
+        fail_all: Let every attempt fail soon after its start.
+    """
 
     model_config = ConfigDict(extra="ignore")
 
@@ -60,7 +67,7 @@
 
 
 class _Runner:
-    """Answer a service's requests, a bounded number at a time."""
+    """Process the requests of a service, as many at a time as there are slots."""
 
     def __init__(self, backend: "BackendStandin", settings: BackendSettings) -> None:
         self._backend = backend
@@ -71,16 +78,16 @@
         self.peak = 0
         self.journal: list[dict[str, Any]] = []
 
-    def take(self, req: _RunnerRequest) -> None:
+    def enqueue(self, req: _RunnerRequest) -> None:
         self._queue.append(req)
         self.peak = max(self.peak, self.busy + len(self._queue))
-        self._begin()
+        self._fill_slots()
 
-    def _begin(self) -> None:
+    def _fill_slots(self) -> None:
         while self._queue and self.busy < self._settings.slots:
             req = self._queue.popleft()
             self.busy += 1
-            self._backend.runner_uses(self.busy)
+            self._backend.set_busy_slots(self.busy)
             entry = {
                 "request_id": req.request_id,
                 "key": req.key,
@@ -89,15 +96,15 @@
                 "answered": False,
             }
             self.journal.append(entry)
-            self._backend.after(self._service_s(), lambda r=req, e=entry: self._finish(r, e))
+            self._backend.after(self._service_time_s(), lambda r=req, e=entry: self._finish(r, e))
 
-    def _service_s(self) -> float:
-        jitter = self._random.uniform(1 - _JITTER, 1 + _JITTER)
+    def _service_time_s(self) -> float:
+        jitter = self._random.uniform(1 - _SERVICE_TIME_JITTER, 1 + _SERVICE_TIME_JITTER)
         return self._settings.service_time_ms / 1000 * jitter * self._backend.stretch()
 
     def _finish(self, req: _RunnerRequest, entry: dict[str, Any]) -> None:
         self.busy -= 1
-        self._backend.runner_uses(self.busy)
+        self._backend.set_busy_slots(self.busy)
         entry["end"] = time.time()
         entry["answered"] = True
         body = {
@@ -106,11 +113,11 @@
             "body": req.body.decode("utf-8", "replace"),
         }
         req.reply(json_reply(200, body, {"Spoolcrank-Request-Id": req.request_id}))
-        self._begin()
+        self._fill_slots()
 
 
 class BackendStandin:
-    """One backend server instance."""
+    """A simulated backend server instance."""
 
     def __init__(self, runtime: Runtime, settings: BackendSettings) -> None:
         self._settings = settings
@@ -123,26 +130,29 @@
             report_lag_s=settings.report_lag_s,
             fail_all=settings.fail_all,
         )
-        self.runner_uses(0)
+        self.set_busy_slots(0)
         self._runner = _Runner(self, settings)
         self.web = runtime.serve(settings.listen, self.answer)
-        runtime.timers.every(_ADVANCE_S, lambda: self.worker.advance(time.time()))
+        runtime.timers.every(_ADVANCE_INTERVAL_S, lambda: self.worker.advance(time.time()))
+
+    def set_busy_slots(self, busy: int) -> None:
+        """Set the resources that the runner uses, as the worker accounts for them.
 
-    def runner_uses(self, busy: int) -> None:
-        """Let the worker know what the runner takes: processors by use, memory for all slots."""
+        The runner uses processors for its busy slots and memory for all its slots.
+        """
         settings = self._settings
         if settings.service:
-            self.worker.service_uses = Resources(
+            self.worker.service_usage = Resources(
                 busy * _SLOT_PROCESSORS, settings.slots * _SLOT_MEMORY_MB, 0
             )
 
     def stretch(self) -> float:
-        """Return the factor on the runner's service time at this moment."""
+        """Return the current factor on the service time of the runner."""
         slowdown = self.worker.slowdown(lambda name: self._settings.slowdowns.get(name, 0.0))
         return slowdown * self._faults.stretch / self._settings.speed
 
     def answer(self, req: HttpRequest, reply: Reply) -> None:
-        """Answer one request."""
+        """Answer one request, or leave it unanswered while the instance is silent."""
         if req.path == "/journal":
             reply(json_reply(200, self._journal()))
         elif req.path == "/faults":
@@ -150,7 +160,7 @@
         elif self._faults.silent:
             return
         elif req.path in BY_PATH:
-            reply(self._obey(req))
+            reply(self._execute_command(req))
         elif req.path == "/health":
             reply(json_reply(200, {"instance": self._settings.instance_id}))
         elif self._settings.service:
@@ -158,7 +168,7 @@
         else:
             reply(json_reply(404, {"error": "no such path"}))
 
-    def _obey(self, req: HttpRequest) -> HttpReply:
+    def _execute_command(self, req: HttpRequest) -> HttpReply:
         try:
             cmd = BY_PATH[req.path].validate_json(req.body)
         except ValidationError as exc:
@@ -171,7 +181,7 @@
         if self._faults.runner_errors:
             reply(json_reply(500, {"error": "runner failed"}))
             return
-        self._runner.take(
+        self._runner.enqueue(
             _RunnerRequest(
                 request_id=req.headers.get("spoolcrank-request-id", ""),
                 key=req.headers.get("idempotency-key", ""),
@@ -207,9 +217,10 @@
 
 
 def read_slowdowns(path: str, service: ServiceName) -> dict[str, float]:
-    """Return task class -> added slowdown of `service` from an interference file.
+    """Return the slowdown that each task class adds to a service, from an interference file.
 
-    The file has `[[slowdown]]` tables with `service`, `task_class` and `factor`.
+    The file is TOML and has `[[slowdown]]` tables with `service`, `task_class` and `factor`. A
+    table without `service` applies to every service.
     """
     with open(path, "rb") as file:
         table = tomllib.load(file)
@@ -221,7 +232,7 @@
 
 
 def run(settings: BackendSettings) -> None:
-    """Run the stand-in as a process."""
+    """Run the stand-in until the process is stopped."""
     runtime = Runtime()
     backend = BackendStandin(runtime, settings)
     listen = f"{backend.web.host}:{backend.web.port}"
--- a/spoolcrank/standin_log.py
+++ b/spoolcrank/standin_log.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's append-only log service, with faults to order."""
+"""Simulate the append-only log service of the platform, with faults that a test can inject."""
 
 import json
 import random
@@ -13,12 +13,12 @@
 from spoolcrank._web import HttpReply, HttpRequest, Reply, json_reply
 from spoolcrank.ids import Address
 
-_MAX_READ = 500
+_MAX_READ_RECORDS = 500
 _MAX_WAIT_S = 30.0
 
 
 class FaultMode(Enum):
-    """What the service is doing wrong."""
+    """The kind of fault that the service shows."""
 
     OK = "ok"
     DOWN = "down"
@@ -30,9 +30,9 @@
     """The fault in force.
 
     Attributes:
-        rate: share of appends whose answer is lost.
-        delay_ms: added to each answer when slow.
-        cut: lose an answer by silence, or by a 503 after the append took effect.
+        rate: Share of the appends that take effect but get no answer in the mode `lose-answers`.
+        delay_ms: Delay before each request to a stream is handled in the mode `slow`.
+        seed: Seed of the choice of the lost answers.
     """
 
     model_config = ConfigDict(extra="ignore")
@@ -60,14 +60,14 @@
 
 
 class _Waiter:
-    def __init__(self, start: int, most: int, reply: Reply) -> None:
+    def __init__(self, start: int, max_records: int, reply: Reply) -> None:
         self.start = start
-        self.most = most
+        self.max_records = max_records
         self.reply: Reply | None = reply
 
 
 class LogStandin:
-    """Keep streams in memory and answer for them."""
+    """Log service that holds its streams in memory."""
 
     def __init__(self, runtime: Runtime, listen: Address, retention_s: float) -> None:
         self._timers = runtime.timers
@@ -75,13 +75,13 @@
         self._streams: dict[str, _Stream] = {}
         self._faults = Faults()
         self._random = random.Random(1)
-        self._appends = 0
-        self._appended = 0
+        self._append_count = 0
+        self._record_count = 0
         self.web = runtime.serve(listen, self.answer)
         self._timers.every(1.0, self._expire)
 
     def answer(self, req: HttpRequest, reply: Reply) -> None:
-        """Answer one request."""
+        """Answer one request, or lose its answer if the fault in force says so."""
         parts = [unquote(part) for part in req.path.strip("/").split("/")]
         if parts == ["faults"]:
             self._set_faults(req, reply)
@@ -90,11 +90,11 @@
         elif self._faults.mode is FaultMode.DOWN:
             reply(json_reply(503, {"error": "down"}))
         elif len(parts) == 3 and parts[0] == "streams" and parts[2] == "records":
-            self._slow_down(lambda: self._serve_stream(parts[1], req, reply))
+            self._delay_if_slow(lambda: self._serve_stream(parts[1], req, reply))
         else:
             reply(json_reply(404, {"error": "no such path"}))
 
-    def _slow_down(self, action: Any) -> None:
+    def _delay_if_slow(self, action: Any) -> None:
         if self._faults.mode is FaultMode.SLOW:
             self._timers.after(self._faults.delay_ms / 1000, action)
         else:
@@ -115,11 +115,11 @@
             return
         first = stream.end
         stream.records += [(time.time(), record) for record in records]
-        self._appends += 1
-        self._appended += len(records)
-        self._wake(stream)
-        loses = self._faults.mode is FaultMode.LOSE_ANSWERS
-        if loses and self._random.random() < self._faults.rate:
+        self._append_count += 1
+        self._record_count += len(records)
+        self._wake_waiters(stream)
+        loses_answers = self._faults.mode is FaultMode.LOSE_ANSWERS
+        if loses_answers and self._random.random() < self._faults.rate:
             return
         reply(json_reply(200, {"first": first, "next": stream.end}))
 
@@ -127,15 +127,15 @@
         try:
             last = int(req.query.get("last", "0"))
             start = int(req.query.get("from", str(max(stream.first, stream.end - last))))
-            most = min(int(req.query.get("max", str(_MAX_READ))), _MAX_READ)
+            max_records = min(int(req.query.get("max", str(_MAX_READ_RECORDS))), _MAX_READ_RECORDS)
             wait_s = min(float(req.query.get("wait_s", "0")), _MAX_WAIT_S)
         except ValueError:
             reply(json_reply(400, {"error": "numbers expected"}))
             return
         if start < stream.end or wait_s <= 0:
-            reply(self._page(stream, start, most))
+            reply(self._page(stream, start, max_records))
             return
-        waiter = _Waiter(start, most, reply)
+        waiter = _Waiter(start, max_records, reply)
         stream.waiters.append(waiter)
         self._timers.after(wait_s, lambda: self._serve_waiter(stream, waiter))
 
@@ -148,17 +148,17 @@
         if self._faults.mode is FaultMode.DOWN:
             reply(json_reply(503, {"error": "down"}))
         else:
-            reply(self._page(stream, waiter.start, waiter.most))
+            reply(self._page(stream, waiter.start, waiter.max_records))
 
-    def _wake(self, stream: _Stream) -> None:
+    def _wake_waiters(self, stream: _Stream) -> None:
         for waiter in list(stream.waiters):
             self._serve_waiter(stream, waiter)
 
-    def _page(self, stream: _Stream, start: int, most: int) -> HttpReply:
+    def _page(self, stream: _Stream, start: int, max_records: int) -> HttpReply:
         start = max(start, stream.first)
-        chosen = stream.records[start - stream.first : start - stream.first + most]
+        page = stream.records[start - stream.first : start - stream.first + max_records]
         records = [
-            {"offset": start + index, "record": record} for index, (_, record) in enumerate(chosen)
+            {"offset": start + index, "record": record} for index, (_, record) in enumerate(page)
         ]
         body = {
             "records": records,
@@ -177,12 +177,12 @@
         self._random = random.Random(self._faults.seed)
         if self._faults.mode is FaultMode.DOWN:
             for stream in self._streams.values():
-                self._wake(stream)
+                self._wake_waiters(stream)
         reply(json_reply(200, {"mode": self._faults.mode.value}))
 
     def _stats(self) -> dict[str, Any]:
         ends = {name: stream.end for name, stream in self._streams.items()}
-        return {"appends": self._appends, "records": self._appended, "streams": ends}
+        return {"appends": self._append_count, "records": self._record_count, "streams": ends}
 
     def _expire(self) -> None:
         before = time.time() - self._retention_s
@@ -191,7 +191,7 @@
 
 
 def run(listen: Address, retention_s: float) -> None:
-    """Run the stand-in as a process."""
+    """Run the stand-in until the process is stopped."""
     runtime = Runtime()
     log = LogStandin(runtime, listen, retention_s)
     print_ready(role="log", listen=f"{log.web.host}:{log.web.port}")
--- a/spoolcrank/trace.py
+++ b/spoolcrank/trace.py
@@ -1,7 +1,7 @@
-"""Record what the core of a live instance was told and what it decided, for replay.
+"""Record the inputs and the decisions of the core of a live instance for a later replay.
 
-A trace is JSON lines. The first names the instance; each other line has the monotonic time
-`t`, the input `in` with its `kind`, and the decisions `out` in short words.
+A trace consists of JSON lines. The first line identifies the instance. Each further line holds the
+monotonic time `t`, the input `in` with its `kind`, and short descriptions of the decisions `out`.
 """
 
 import base64
@@ -20,16 +20,17 @@
 from spoolcrank.state import CoreAction, Handover, Note
 from spoolcrank.worker import Refused, Report
 
-_NAMED_BY = ("task", "job", "server", "key", "target")
+_SUBJECT_FIELDS = ("task", "job", "server", "key", "target")
+"""Fields of a record that name its subject, in order of preference."""
 
 
-def words(action: CoreAction) -> str:
-    """Return a decision in a few words that stay the same between runs."""
+def describe_action(action: CoreAction) -> str:
+    """Return a short description of a decision, which is the same in every replay."""
     match action:
         case Append(record):
             fields = record.model_dump()
-            about = next((str(fields[name]) for name in _NAMED_BY if name in fields), "")
-            return f"append {record.kind} {about}".rstrip()
+            subject = next((str(fields[name]) for name in _SUBJECT_FIELDS if name in fields), "")
+            return f"append {record.kind} {subject}".rstrip()
         case Send(server, command):
             task = getattr(command, "task", "")
             return f"{type(command).__name__.lower()} {server} {task}".rstrip()
@@ -40,7 +41,7 @@
 
 
 class Recorder:
-    """Write a trace to a file."""
+    """Writer of a trace file, which it opens and overwrites at once."""
 
     def __init__(self, path: str, members: Members) -> None:
         self._file = open(path, "w", encoding="utf-8", buffering=1)  # noqa: SIM115
@@ -56,13 +57,17 @@
     def _write(self, line: dict[str, Any]) -> None:
         self._file.write(json.dumps(line) + "\n")
 
-    def note(self, now: float, told: dict[str, Any], actions: Iterable[CoreAction] = ()) -> None:
-        """Write one input and what was decided on it."""
-        self._write({"t": now, "in": told, "out": [words(action) for action in actions]})
+    def note(
+        self, now: float, trace_input: dict[str, Any], actions: Iterable[CoreAction] = ()
+    ) -> None:
+        """Write one input and the decisions that the core made on it."""
+        self._write(
+            {"t": now, "in": trace_input, "out": [describe_action(action) for action in actions]}
+        )
 
 
 def told_list(instances: list[Instance]) -> dict[str, Any]:
-    """Return the input for the platform's list."""
+    """Return the input for the platform's instance list."""
     return {"kind": "list", "instances": dump_list(instances)}
 
 
@@ -72,13 +77,13 @@
 
 
 def told_ledger(ledger: Ledger) -> dict[str, Any]:
-    """Return the input for a ledger taken from a peer or a snapshot."""
+    """Return the input for a ledger received from a peer or read from a snapshot."""
     return {"kind": "ledger", "ledger": dump_ledger(ledger)}
 
 
-def told_beat(beat: Heartbeat) -> dict[str, Any]:
-    """Return the input for a peer's heartbeat, as its thrift frame."""
-    frame = _wire.encode(beat.sender, beat)
+def told_beat(heartbeat: Heartbeat) -> dict[str, Any]:
+    """Return the input for a peer's heartbeat, which holds the encoded thrift frame."""
+    frame = _wire.encode(heartbeat.sender, heartbeat)
     return {"kind": "beat", "frame": base64.b64encode(frame).decode()}
 
 
@@ -89,5 +94,5 @@
 
 
 def told_refused(server: InstanceId, refused: Refused) -> dict[str, Any]:
-    """Return the input for a worker's no."""
+    """Return the input for a worker's refusal of a command."""
     return {"kind": "refused", "server": server, "refused": refused.model_dump(mode="json")}
--- a/spoolcrank/workflow.py
+++ b/spoolcrank/workflow.py
@@ -100,7 +100,7 @@
             if step.count < 1:
                 return f"steps.{number}.count: must be at least 1"
             if any(not 0 <= earlier < number for earlier in step.after):
-                return f"steps.{number}.after: must refer to earlier steps only"
+                return f"steps.{number}: must refer to earlier steps only"
         if not 0 <= self.rounds <= MAX_ROUNDS:
             return f"rounds: must be from 0 to {MAX_ROUNDS}"
         return ""
--- a/tests/test_note_lines.py
+++ b/tests/test_note_lines.py
@@ -137,7 +137,7 @@
             told.append(Line(at + 0.3, "e", line.name, fields))
     told.append(Line(1.2, "e", "job-ended", {"job": job, "phase": "completed"}))
     (found,) = job_times(told)
-    assert round(found.took_s, 2) == 1.2
+    assert round(found.duration_s, 2) == 1.2
     assert {cause.value: round(s, 2) for cause, s in found.seconds.items() if s > 0.001} == {
         "until a leader read it": 0.1,
         "waiting for a place": 0.1,
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -11,10 +11,11 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "OPERATIONS.md"
-LOST_NEEDS_SILENCE = "declare-lost"
+DECLARE_LOST = "declare-lost"
+"""A command that is refused while the server still answers."""
 
 
-def commands() -> list[str]:
+def commands_of_page() -> list[str]:
     blocks = re.findall(r"```ctl\n(.*?)```", PAGE.read_text(), re.DOTALL)
     return [line for block in blocks for line in block.splitlines() if line.strip()]
 
@@ -25,7 +26,7 @@
     return subprocess.run(args, capture_output=True, text=True, cwd=ROOT, timeout=60, env=env)
 
 
-def declared_lost(entry: str, line: str) -> bool:
+def wait_until_accepted(entry: str, line: str) -> bool:
     return bool(wait_for(lambda: ctl(entry, line).returncode == 0, 30, line))
 
 
@@ -34,34 +35,34 @@
         size = {"processors": 2, "memory_mb": 1000}
         job = run.submit("entry-a1", name="held", tasks=2, size=size, payload={"run_s": 600})
         run.wait_running("entry-a1", 2)
-        lines = commands()
+        lines = commands_of_page()
         assert len(lines) > 15
         for line in lines:
             line = line.replace("$JOB", job).replace("$TASK", f"{job}.0")
-            if line.startswith(LOST_NEEDS_SILENCE):
+            if line.startswith(DECLARE_LOST):
                 server = line.split()[1]
-                done = ctl(run.entry("entry-b2").url, line)
-                assert "it is not lost" in done.stdout + done.stderr
+                result = ctl(run.entry("entry-b2").url, line)
+                assert "it is not lost" in result.stdout + result.stderr
                 call("POST", f"{run.fleet.backends[server].url}/faults", {"silent": True})
-                assert declared_lost(run.entry("entry-b2").url, line)
+                assert wait_until_accepted(run.entry("entry-b2").url, line)
                 continue
-            done = ctl(run.entry("entry-b2").url, line)
-            assert done.returncode == 0, (line, done.stdout, done.stderr)
+            result = ctl(run.entry("entry-b2").url, line)
+            assert result.returncode == 0, (line, result.stdout, result.stderr)
 
 
-def test_a_wrong_word_is_pointed_at() -> None:
+def test_an_unknown_word_is_reported_with_its_position_and_a_suggestion() -> None:
     with Scenario(entries_per_zone=1) as run:
-        done = ctl(run.entry("entry-a1").url, "show runing")
-        assert done.returncode == 1
-        assert "'runing' at character 6" in done.stdout
-        assert "did you mean 'running'" in done.stdout
+        result = ctl(run.entry("entry-a1").url, "show runing")
+        assert result.returncode == 1
+        assert "'runing' at character 6" in result.stdout
+        assert "did you mean 'running'" in result.stdout
 
 
-def test_racing_operators_end_with_one_order_that_all_agree_on() -> None:
+def test_concurrent_operators_reach_one_order_that_all_instances_agree_on() -> None:
     with Scenario() as run:
         urls = [process.url for process in run.fleet.entries.values()]
         job = run.submit("entry-a1", name="contended", payload={"run_s": 600})
-        racers = []
+        clients = []
         for number, url in enumerate(urls):
             for text in (
                 f"set routing.deadline_ms={1000 + number}",
@@ -70,20 +71,20 @@
             ):
                 body = f'{{"text": "{text}", "by": "operator-{number}"}}'
                 args = [sys.executable, "-c", _POST, f"{url}/commands", body]
-                racers.append(subprocess.Popen(args, stdout=subprocess.PIPE, text=True))
-        told = [racer.communicate(timeout=60)[0].strip() for racer in racers]
-        assert sum(line.startswith("200") and "cancelled 1" in line for line in told) == 1
-        assert sum(line.startswith("200") and "backend-a1 drained" in line for line in told) == 1
-        assert any("cancelled before by" in line for line in told)
+                clients.append(subprocess.Popen(args, stdout=subprocess.PIPE, text=True))
+        answers = [client.communicate(timeout=60)[0].strip() for client in clients]
+        assert sum(line.startswith("200") and "cancelled 1" in line for line in answers) == 1
+        assert sum(line.startswith("200") and "backend-a1 drained" in line for line in answers) == 1
+        assert any("cancelled before by" in line for line in answers)
 
-        def agreed(path: str, pick: str) -> bool:
-            answers = {str(call("GET", f"{url}{path}").json()[pick]) for url in urls}
-            return len(answers) == 1
+        def agreed(path: str, field: str) -> bool:
+            values = {str(call("GET", f"{url}{path}").json()[field]) for url in urls}
+            return len(values) == 1
 
         wait_for(lambda: agreed("/config", "toml"), 14, "configurations differ")
         wait_for(lambda: agreed(f"/jobs/{job}", "state"), 14, "jobs differ")
-        losers = [line for line in told if line.startswith("409") and "beaten by" in line]
-        winners = [line for line in told if "in force" in line]
+        losers = [line for line in answers if line.startswith("409") and "beaten by" in line]
+        winners = [line for line in answers if "in force" in line]
         assert len(winners) >= 1
         assert len(losers) + len(winners) <= len(urls)
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,6 +1,8 @@
-"""A trace recorded from a live instance replays to the same decisions."""
+"""A replay of a recorded trace makes the recorded decisions."""
 
 import json
+import shutil
+import tempfile
 from pathlib import Path
 
 import pytest
@@ -14,20 +16,20 @@
 DATA = Path(__file__).parent / "data"
 
 
-@pytest.mark.parametrize("kept", sorted(DATA.glob("*.jsonl")), ids=lambda path: path.stem)
-def test_kept_traces_give_the_stated_decisions(kept: Path) -> None:
-    found = replay(kept.read_text().splitlines())
-    assert found.decided > 10
-    assert found.differences == []
+@pytest.mark.parametrize("path", sorted(DATA.glob("*.jsonl")), ids=lambda path: path.stem)
+def test_stored_traces_replay_to_the_recorded_decisions(path: Path) -> None:
+    result = replay(path.read_text().splitlines())
+    assert result.decision_count > 10
+    assert result.differences == []
 
 
 def test_a_changed_decision_is_found() -> None:
     lines = next(DATA.glob("*.jsonl")).read_text().splitlines()
-    at = next(n for n, line in enumerate(lines) if n and json.loads(line)["out"])
-    line = json.loads(lines[at])
-    lines[at] = json.dumps({**line, "out": []})
-    found = replay(lines)
-    assert [one.line for one in found.differences] == [at + 1]
+    index = next(n for n, line in enumerate(lines) if n and json.loads(line)["out"])
+    line = json.loads(lines[index])
+    lines[index] = json.dumps({**line, "out": []})
+    result = replay(lines)
+    assert [difference.line for difference in result.differences] == [index + 1]
 
 
 def test_trace_of_a_live_instance_replays(tmp_path: Path) -> None:
@@ -39,19 +41,24 @@
         wait_for(lambda: fleet.job("entry-a2", job)["state"] == "finished", 30, "not finished")
         fleet.entries["entry-a1"].stop()
         fleet.entries["entry-a2"].stop()
-    for written in tmp_path.glob("*.jsonl"):
-        found = replay(written.read_text().splitlines())
-        assert found.inputs > 50
-        assert found.differences == []
+    for path in tmp_path.glob("*.jsonl"):
+        result = replay(path.read_text().splitlines())
+        assert result.input_count > 50
+        assert result.differences == [], f"trace copied to {_copy_trace(path)}"
 
 
-def test_a_ledger_taken_from_a_peer_replays() -> None:
-    line = json.loads(next(DATA.glob("*.jsonl")).read_text().splitlines()[0])
+def _copy_trace(path: Path) -> Path:
+    """Copy a trace to a new directory that outlives the test run, and return the copy's path."""
+    return Path(shutil.copy(path, tempfile.mkdtemp(prefix="spoolcrank-trace-")))
+
+
+def test_a_ledger_received_from_a_peer_replays() -> None:
+    header = json.loads(next(DATA.glob("*.jsonl")).read_text().splitlines()[0])
     ledger = Ledger(offset=7)
-    server, mine = InstanceId("backend-a1"), Incarnation(line["incarnation"])
+    server, incarnation = InstanceId("backend-a1"), Incarnation(header["incarnation"])
     ledger.claims[server] = Claim(
-        owner=InstanceId(line["me"]), incarnation=mine, epoch=Epoch(1024), at=1.0
+        owner=InstanceId(header["me"]), incarnation=incarnation, epoch=Epoch(1024), at=1.0
     )
     out = ["note claim.found epoch=1024 server=backend-a1"]
-    told = {"t": 1.0, "in": trace.told_ledger(ledger), "out": out}
-    assert replay([json.dumps(line), json.dumps(told)]).differences == []
+    input_line = {"t": 1.0, "in": trace.told_ledger(ledger), "out": out}
+    assert replay([json.dumps(header), json.dumps(input_line)]).differences == []
