--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the product with real processes on loopback."""
+"""Benchmarks of spoolcrank, most of them with real processes on the loopback interface."""
--- a/bench/colocation.py
+++ b/bench/colocation.py
@@ -1,4 +1,4 @@
-"""Measure services and batch work together: the policy beside its baselines."""
+"""Measure services and batch work on the same servers, under a policy and its baselines."""
 
 import threading
 import time
@@ -11,8 +11,8 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 SERVICE = "quotes"
 WINDOW_S = 20.0
-RATE = 90.0
-BUSY_RATE = 180.0
+REQUESTS_PER_S = 90.0
+PEAK_REQUESTS_PER_S = 180.0
 REPORT_LAG_S = "5"
 SPEEDS = ("1.0", "0.8")
 
@@ -39,18 +39,18 @@
 """
 
 
-class Wave(NamedTuple):
-    """Jobs that arrive at a time of the window."""
+class JobArrival(NamedTuple):
+    """A job and the time at which it is submitted, in seconds from the start of the window."""
 
     at_s: float
     job: dict[str, Any]
 
 
 class Measured(NamedTuple):
-    """What one run gave.
+    """The results of one run.
 
     Attributes:
-        work_s: batch work done and kept, in seconds at full speed.
+        work_s: batch work done by runs that did not fail, in seconds at full speed.
     """
 
     p50_ms: float
@@ -63,27 +63,30 @@
 
 
 class Plan(NamedTuple):
-    """One variant of the experiment."""
+    """The configuration, load and seed of one variant.
+
+    `table` is the file of `EXAMPLES` with the interference that the backend servers simulate.
+    """
 
     name: str
     toml: str
-    rate: float = RATE
+    rate: float = REQUESTS_PER_S
     seed: int = 1
     table: str = "interference.toml"
 
 
-def waves(seed: int) -> list[Wave]:
-    """Return the batch work; declared sizes are up to four times off, both ways."""
+def job_arrivals(seed: int) -> list[JobArrival]:
+    """Return the batch jobs; their declared sizes are up to four times too large or too small."""
     shift = (seed % 3) * 0.5
     calm = _job("calm", 48, 2.0, 4000, 0.5, 1000, 5.0)
     chatty = _job("chatty", 12, 1.0, 1000, 2.0, 3000, 6.0)
     noisy = _job("noisy", 8, 1.0, 1000, 2.0, 4000, 6.0)
     return [
-        Wave(0.0, calm),
-        Wave(2.0 + shift, noisy),
-        Wave(3.0 + shift, chatty),
-        Wave(9.0 + shift, noisy),
-        Wave(11.0 + shift, chatty),
+        JobArrival(0.0, calm),
+        JobArrival(2.0 + shift, noisy),
+        JobArrival(3.0 + shift, chatty),
+        JobArrival(9.0 + shift, noisy),
+        JobArrival(11.0 + shift, chatty),
     ]
 
 
@@ -109,7 +112,7 @@
 
 
 def backends(table: str, seed: int) -> list[BackendPlan]:
-    """Return six servers of uneven speed; one fails everything that it starts."""
+    """Plan six backend servers of two speeds, one of which fails every run that it starts."""
     plans = []
     for number, plan in enumerate(plan_backends(2, SERVICE)):
         extra = ["--interference", str(EXAMPLES / table), "--report-lag-s", REPORT_LAG_S]
@@ -121,13 +124,13 @@
 
 
 def run(plan: Plan) -> Measured:
-    """Run one variant on a fresh fleet."""
+    """Run one variant on a fleet of its own."""
     with Fleet(2, backends(plan.table, plan.seed)) as fleet:
         fleet.wait_ready()
-        entry = fleet.entries["entry-a1"].url
-        answer = call("POST", f"{entry}/config?id=bench", plan.toml.encode())
+        entry_url = fleet.entries["entry-a1"].url
+        answer = call("POST", f"{entry_url}/config?id=bench", plan.toml.encode())
         if answer.status != 200:
-            raise RuntimeError(f"config refused: {answer.body!r}")
+            raise RuntimeError(f"configuration refused: {answer.body!r}")
         report = _offer(fleet, plan)
         return _measure(fleet, report)
 
@@ -138,31 +141,31 @@
 
     def offer(rate: float, duration_s: float, seed: int) -> None:
         if rate > 0:
-            offered = load.LoadPlan(urls, SERVICE, rate, duration_s, 1000.0, seed=seed)
-            reports.append(load.offer(offered))
+            load_plan = load.LoadPlan(urls, SERVICE, rate, duration_s, 1000.0, seed=seed)
+            reports.append(load.offer(load_plan))
 
-    def jobs() -> None:
+    def submit_jobs() -> None:
         began = time.monotonic()
-        for number, wave in enumerate(waves(plan.seed)):
-            time.sleep(max(0.0, began + wave.at_s - time.monotonic()))
-            load.submit_job(urls[number % len(urls)], wave.job)
+        for number, arrival in enumerate(job_arrivals(plan.seed)):
+            time.sleep(max(0.0, began + arrival.at_s - time.monotonic()))
+            load.submit_job(urls[number % len(urls)], arrival.job)
 
     offer(plan.rate, 2.0, plan.seed + 7)
     threads = [
         threading.Thread(target=offer, args=(plan.rate, WINDOW_S, plan.seed)),
-        threading.Thread(target=jobs),
+        threading.Thread(target=submit_jobs),
     ]
     began = time.monotonic()
     for thread in threads:
         thread.start()
     time.sleep(WINDOW_S * 0.4)
-    offer(plan.rate * (BUSY_RATE / RATE - 1.0), WINDOW_S * 0.3, plan.seed + 3)
+    offer(plan.rate * (PEAK_REQUESTS_PER_S / REQUESTS_PER_S - 1.0), WINDOW_S * 0.3, plan.seed + 3)
     for thread in threads:
         thread.join()
     time.sleep(max(0.0, began + WINDOW_S - time.monotonic()))
-    merged = load.LoadReport()
-    merged.seen = [one for report in reports[1:] for one in report.seen]
-    return merged
+    merged_report = load.LoadReport()
+    merged_report.seen = [request for report in reports[1:] for request in report.seen]
+    return merged_report
 
 
 def _measure(fleet: Fleet, report: load.LoadReport) -> Measured:
--- a/bench/days.py
+++ b/bench/days.py
@@ -1,7 +1,8 @@
-"""Play days of our own at a site of the platform's bench and print a row for each.
+"""Play the days of `bench/days/kinds.toml` with the platform's bench and print their results.
 
 `python -m bench.days BENCH SITE [NAME ...]`: BENCH is the bench's program, SITE a site file. Each
-trouble comes alone and twice; each pair comes once, its second part `after` seconds later.
+kind of trouble has a day of its own, on which it occurs twice. Each pair of kinds has a day on
+which it occurs once, the second kind `after` seconds after the first.
 """
 
 import subprocess
@@ -14,75 +15,80 @@
 
 import tomli_w
 
-TABLE = Path(__file__).parent / "days" / "kinds.toml"
-FIRST_S = 6.0
-SECOND_S = 20.0
-LENGTH_S = 34.0
+DAYS_FILE = Path(__file__).parent / "days" / "kinds.toml"
+FIRST_AT_S = 6.0
+SECOND_AT_S = 20.0
+DAY_LENGTH_S = 34.0
 SEED = 7
-PLANNED = frozenset({"config_change", "config_storm", "roll_term", "hup", "add_nodes"})
-AT_ONCE = 7
-DAY_LIMIT_S = 500
+PLANNED_KINDS = frozenset({"config_change", "config_storm", "roll_term", "hup", "add_nodes"})
+MAX_PARALLEL_PLAYS = 7
+PLAY_TIMEOUT_S = 500
 
 
-class Row(NamedTuple):
-    """What became of one day: the bench's own line, and the first lines about rules."""
+class PlayResult(NamedTuple):
+    """The result of one day: the bench's line about it, and its lines about broken rules.
+
+    `line` holds the end of the output instead if the bench printed no line about the day.
+    """
 
     name: str
     line: str
     broken: list[str]
 
 
-def day_of(name: str, troubles: list[dict[str, Any]], twice: bool) -> dict[str, Any]:
-    """Return one day as the bench reads it."""
+def build_day(name: str, troubles: list[dict[str, Any]], twice: bool) -> dict[str, Any]:
+    """Return one day in the form that the bench reads."""
     entries = []
-    for begin in (FIRST_S, SECOND_S) if twice else (FIRST_S,):
+    for begin_s in (FIRST_AT_S, SECOND_AT_S) if twice else (FIRST_AT_S,):
         for trouble in troubles:
             fields = dict(trouble)
-            entries.append({**fields, "at": begin + fields.pop("after", 0.0)})
+            entries.append({**fields, "at": begin_s + fields.pop("after", 0.0)})
     for entry in entries:
         entry.pop("after", None)
     return {
         "name": name,
         "slot": "trouble",
         "seed": SEED,
-        "length_s": LENGTH_S,
-        "plan": [entry for entry in entries if entry["kind"] in PLANNED],
-        "faults": [entry for entry in entries if entry["kind"] not in PLANNED],
+        "length_s": DAY_LENGTH_S,
+        "plan": [entry for entry in entries if entry["kind"] in PLANNED_KINDS],
+        "faults": [entry for entry in entries if entry["kind"] not in PLANNED_KINDS],
     }
 
 
-def play(bench: str, site: str, day: dict[str, Any], why: str) -> Row:
-    """Play one day and pick the lines that matter."""
+def play(bench: str, site: str, day: dict[str, Any], why: str) -> PlayResult:
+    """Play one day and extract its result from the output of the bench."""
     with tempfile.NamedTemporaryFile("wb", suffix=".toml") as file:
         tomli_w.dump(day, file)
         file.flush()
         command = [bench, "run", site, file.name, "--why", f"{why}: {day['name']}"]
-        done = subprocess.run(
-            command, capture_output=True, text=True, timeout=DAY_LIMIT_S, check=False
+        completed = subprocess.run(
+            command, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S, check=False
         )
-    lines = (done.stdout + done.stderr).splitlines()
-    own = [line for line in lines if line.startswith(str(day["name"]))]
+    lines = (completed.stdout + completed.stderr).splitlines()
+    day_lines = [line for line in lines if line.startswith(str(day["name"]))]
     broken = [line for line in lines if line.startswith("rules broken")]
-    return Row(str(day["name"]), own[0] if own else "\n".join(lines[-3:]), broken)
+    return PlayResult(
+        str(day["name"]), day_lines[0] if day_lines else "\n".join(lines[-3:]), broken
+    )
 
 
 def main(arguments: list[str]) -> int:
-    """Play the named days, or all; returns how many broke a rule or did not play."""
+    """Play the named days, or all; return the number of days that broke a rule."""
     bench, site, *names = arguments
-    table = tomllib.loads(TABLE.read_text(encoding="utf-8"))
+    table = tomllib.loads(DAYS_FILE.read_text(encoding="utf-8"))
     days = [
-        day_of(name, troubles, section == "alone")
+        build_day(name, troubles, section == "alone")
         for section, group in table.items()
         for name, troubles in group.items()
         if not names or name in names
     ]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        rows = list(pool.map(lambda day: play(bench, site, day, "days of our own"), days))
-    for row in rows:
-        sys.stdout.write(f"{row.line[:150]}\n")
-        for line in row.broken:
+    with ThreadPoolExecutor(MAX_PARALLEL_PLAYS) as pool:
+        results = list(pool.map(lambda day: play(bench, site, day, "days of our own"), days))
+    for result in results:
+        sys.stdout.write(f"{result.line[:150]}\n")
+        for line in result.broken:
             sys.stdout.write(f"    {line[:150]}\n")
-    return sum(1 for row in rows if row.broken)
+    return sum(1 for result in results if result.broken)
 
 
 if __name__ == "__main__":
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""Measure takeovers, refusals and appends while an owner dies, with the log up and down."""
+"""Measure takeover time, refusals and appends when an owner is killed, with the log up or down."""
 
 import json
 import statistics
@@ -14,18 +14,18 @@
 
 RESULTS = Path(__file__).with_name("faults.json")
 SERVICE = "quotes"
-RATE = 60.0
+REQUESTS_PER_S = 60.0
 ROUNDS = 3
 SETTLE_S = 5.0
 
 
 class Takeover(NamedTuple):
-    """One death of an owner.
+    """The results of killing one owner.
 
     Attributes:
-        seconds: from the kill until the server obeys its new owner.
-        refused_share: of the requests offered to the other entry instances meanwhile.
-        appends_per_s: of the whole fleet, over the whole round.
+        seconds: seconds from the kill until the server's journal names another owner.
+        refused_share: share of the requests to the other entry instances not answered with success.
+        appends_per_s: appends of the whole fleet to the log, over the whole round.
     """
 
     seconds: float
@@ -34,7 +34,7 @@
 
 
 def run(log_down: bool) -> Takeover:
-    """Kill the owner of a server under load and jobs."""
+    """Kill the owner of a server while the fleet handles requests and jobs."""
     with Fleet(2, plan_backends(2, SERVICE)) as fleet:
         fleet.wait_ready()
         time.sleep(SETTLE_S)
@@ -42,27 +42,29 @@
         owner = _owner(fleet, server)
         others = [fleet.entries[name].url for name in fleet.entries if name != owner]
         appends = int(call("GET", f"{fleet.log.url}/stats").json()["appends"])
-        began = time.monotonic()
+        started_at = time.monotonic()
         job = {"name": "steady", "tasks": 2, "payload": {"run_s": 1.0}}
-        plan = load.LoadPlan(others, SERVICE, RATE, 10.0, job_rate=3.0, job=job)
+        plan = load.LoadPlan(others, SERVICE, REQUESTS_PER_S, 10.0, job_rate=3.0, job=job)
         reports: list[load.LoadReport] = []
-        offering = threading.Thread(target=lambda: reports.append(load.offer(plan)))
-        offering.start()
+        load_thread = threading.Thread(target=lambda: reports.append(load.offer(plan)))
+        load_thread.start()
         time.sleep(2.0)
         if log_down:
             fleet.log_fault("down")
             time.sleep(2.0)
-        killed = time.monotonic()
+        killed_at = time.monotonic()
         fleet.entries[owner].kill()
         wait_for(lambda: _owner(fleet, server) != owner, 20, "no takeover")
-        seconds = time.monotonic() - killed
-        offering.join()
-        elapsed = time.monotonic() - began
+        seconds = time.monotonic() - killed_at
+        load_thread.join()
+        elapsed = time.monotonic() - started_at
         fleet.log_fault("ok")
-        spent = int(call("GET", f"{fleet.log.url}/stats").json()["appends"]) - appends
+        append_count = int(call("GET", f"{fleet.log.url}/stats").json()["appends"]) - appends
         seen = reports[0].seen
-        refused = sum(one.outcome != "ok" for one in seen)
-        return Takeover(round(seconds, 2), round(refused / len(seen), 4), round(spent / elapsed, 1))
+        refused = sum(request.outcome != "ok" for request in seen)
+        return Takeover(
+            round(seconds, 2), round(refused / len(seen), 4), round(append_count / elapsed, 1)
+        )
 
 
 def _owner(fleet: Fleet, server: str) -> str:
@@ -70,15 +72,15 @@
 
 
 def main() -> None:
-    """Measure and write everything."""
+    """Run every round, print the results and write `RESULTS`."""
     console = Console()
     results: list[dict[str, Any]] = []
     for log_down in (False, True):
         rounds = [run(log_down) for _ in range(ROUNDS)]
-        seconds = statistics.median(one.seconds for one in rounds)
+        seconds = statistics.median(takeover.seconds for takeover in rounds)
         body = {"log_down": log_down, "median_takeover_s": seconds, "rounds": rounds}
         console.print(body, highlight=False)
-        results.append({**body, "rounds": [one._asdict() for one in rounds]})
+        results.append({**body, "rounds": [takeover._asdict() for takeover in rounds]})
     RESULTS.write_text(json.dumps(results, indent=1) + "\n", encoding="utf-8")
 
 
--- a/bench/owners.py
+++ b/bench/owners.py
@@ -1,6 +1,6 @@
-"""Compare rendezvous hashing with a ring of virtual nodes for choosing owners.
+"""Compare rendezvous hashing with a ring of virtual nodes for the choice of owners.
 
-The ring with random tokens is the way of the related paper ("Virtual nodes strategies").
+The ring gives each owner random tokens, as the paper "Virtual nodes strategies" does.
 """
 
 import bisect
@@ -15,7 +15,7 @@
 
 SERVERS = 24
 OWNERS = 9
-TOKENS = 32
+TOKENS_PER_OWNER = 32
 TRIALS = 200
 
 
@@ -24,19 +24,25 @@
 
 
 def ring_owner(server: str, owners: list[InstanceId]) -> InstanceId:
-    """Return the owner by a ring with `TOKENS` random tokens for each owner."""
-    ring = sorted((_hash(f"{owner}#{token}"), owner) for owner in owners for token in range(TOKENS))
-    at = bisect.bisect([position for position, _ in ring], _hash(server))
-    return ring[at % len(ring)][1]
+    """Return the owner on a ring with `TOKENS_PER_OWNER` random tokens for each owner."""
+    ring = sorted(
+        (_hash(f"{owner}#{token}"), owner) for owner in owners for token in range(TOKENS_PER_OWNER)
+    )
+    index = bisect.bisect([position for position, _ in ring], _hash(server))
+    return ring[index % len(ring)][1]
 
 
-def _spread(assigned: dict[str, InstanceId], owners: list[InstanceId]) -> float:
+def _max_to_mean(assigned: dict[str, InstanceId], owners: list[InstanceId]) -> float:
     counts = Counter(assigned.values())
     return max(counts.values()) / (SERVERS / len(owners))
 
 
 def measure() -> list[dict[str, Any]]:
-    """Return servers moved when an owner goes, and the fullest owner over the mean."""
+    """Compare both methods by needless moves and by uneven load, as means over all trials.
+
+    Needless moves are changes of owner, when one owner leaves, beyond those of its own servers.
+    Uneven load is the largest number of servers of one owner, divided by the mean.
+    """
     moved: dict[str, list[float]] = {"ring": [], "rendezvous": []}
     spread: dict[str, list[float]] = {"ring": [], "rendezvous": []}
     for trial in range(TRIALS):
@@ -45,10 +51,10 @@
         for name, choose in (("ring", ring_owner), ("rendezvous", preferred)):
             before = {server: choose(server, owners) for server in servers}
             after = {server: choose(server, owners[1:]) for server in servers}
-            moves = sum(before[server] != after[server] for server in servers)
-            needed = sum(owner == owners[0] for owner in before.values())
-            moved[name].append(float(moves - needed))
-            spread[name].append(_spread(before, owners))  # type: ignore[arg-type]
+            moved_servers = sum(before[server] != after[server] for server in servers)
+            orphaned_servers = sum(owner == owners[0] for owner in before.values())
+            moved[name].append(float(moved_servers - orphaned_servers))
+            spread[name].append(_max_to_mean(before, owners))  # type: ignore[arg-type]
     return [
         _result("servers moved beyond need when an owner goes", "servers", moved),
         _result("fullest owner over the mean", "ratio", spread),
@@ -57,13 +63,13 @@
 
 def _result(measure_name: str, unit: str, values: dict[str, list[float]]) -> dict[str, Any]:
     ring = statistics.mean(values["ring"])
-    mine = statistics.mean(values["rendezvous"])
+    rendezvous = statistics.mean(values["rendezvous"])
     return {
         "measure": f"owners: {measure_name}, rendezvous beside a ring",
         "unit": unit,
         "better": "lower",
         "baseline": round(ring, 3),
-        "policy": round(mine, 3),
-        "ratio": round(mine / ring, 3) if ring else None,
+        "policy": round(rendezvous, 3),
+        "ratio": round(rendezvous / ring, 3) if ring else None,
         "runs": TRIALS,
     }
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,7 +1,7 @@
-"""Time a pass over waiting work by the number of runners: `python -m bench.placing`.
+"""Time a placing pass by the number of runners: `python -m bench.placing`.
 
-The state is made up: on each runner two tasks that serve and three fillers, waiting steps of 39
-fillers and of nine short tasks. Figures are processor time of this machine, for comparing two
+The state is synthetic: each runner has two serving tasks and three fillers, and steps of 39 fillers
+and of nine short tasks wait. The times are processor time on this machine and serve to compare two
 checkouts on it.
 """
 
@@ -18,28 +18,28 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import Demand, JobRecord, RouteName, RunnerId, Step, TaskKey, Workflow
 
-SIZES = (300, 660, 2000)
+RUNNER_COUNTS = (300, 660, 2000)
 WAITING_TASKS = 2000
 IMAGES = 30
 SERVICE = ServiceName("pricing")
-OLD_JOB = JobId("old")
+RUNNING_JOB = JobId("old")
 NOW = 100.0
 
 
-class Figures(NamedTuple):
-    """What one size took.
+class PassTimes(NamedTuple):
+    """The placing times for one number of runners.
 
     Attributes:
-        runners: how many.
-        bound: tasks that found a place.
-        pass_ms: for all waiting tasks.
-        lone_ms: for one task that arrives alone.
+        runners: number of runners.
+        bound: number of tasks that the pass bound.
+        pass_ms: processor time to place all waiting tasks, in milliseconds.
+        single_task_ms: processor time to place one task with nothing else waiting.
     """
 
     runners: int
     bound: int
     pass_ms: float
-    lone_ms: float
+    single_task_ms: float
 
 
 def _runner(number: int) -> RunnerState:
@@ -54,20 +54,20 @@
     )
     runner = RunnerState(entry, adopted=True)
     runner.heard(1000.0, NOW, NOW)
-    for place_on in range(5):
-        serves = place_on < 2
-        demand = Demand(6400 if serves else 0, 13_000 if serves else 6400, 0)
-        run = Run(1, RunStage.RUNNING, demand, 6400 if serves else 3500, NOW - 5.0)
-        run.image = f"serving-{number % 16}" if serves else f"image-{number % IMAGES}"
-        run.fills, run.target_ms, run.lasting = not serves, 25.0 if serves else 0.0, serves
+    for task_number in range(5):
+        serving = task_number < 2
+        demand = Demand(6400 if serving else 0, 13_000 if serving else 6400, 0)
+        run = Run(1, RunStage.RUNNING, demand, 6400 if serving else 3500, NOW - 5.0)
+        run.image = f"serving-{number % 16}" if serving else f"image-{number % IMAGES}"
+        run.fills, run.target_ms, run.lasting = not serving, 25.0 if serving else 0.0, serving
         run.used_millicores = 3000.0
-        runner.add(TaskKey(OLD_JOB, 0, number, place_on), run)
+        runner.add(TaskKey(RUNNING_JOB, 0, number, task_number), run)
     return runner
 
 
 def _state(runners: int) -> Scheduler:
     state = Scheduler(1, NOW, NOW)
-    state.runners = {one.id: one for one in map(_runner, range(runners))}
+    state.runners = {runner.id: runner for runner in map(_runner, range(runners))}
     state.contention.expect({f"image-{number}": 1.0 / IMAGES for number in range(IMAGES)})
     if hasattr(state, "starts"):
         state.starts.limit = float("inf")
@@ -79,43 +79,51 @@
     state.add_job(JobId(f"{number:x}"), record, number, None, False, NOW - 1.0, 0.0)
 
 
-def _filling(number: int) -> Step:
+def _filler_step(number: int) -> Step:
     image = f"image-{number % IMAGES}"
     return Step(
         count=39, millicores=3500, memory_mb=6400, estimate_ms=1700, image=image, fills=True
     )
 
 
-def _timed(state: Scheduler) -> float:
-    began = time.process_time()
+def _placing_ms(state: Scheduler) -> float:
+    started_at = time.process_time()
     while not place(state, NOW, 0.0):
         pass
-    return (time.process_time() - began) * 1000.0
+    return (time.process_time() - started_at) * 1000.0
 
 
-def measure(runners: int) -> Figures:
-    """Return what placing takes over so many runners."""
+def measure(runners: int) -> PassTimes:
+    """Time a pass over `WAITING_TASKS` tasks, and over a single task, on `runners` runners."""
     state = _state(runners)
     waiting = number = 0
     while waiting < WAITING_TASKS:
-        step = _filling(number) if number % 2 else Step(count=9, millicores=6400, memory_mb=13_000)
+        step = (
+            _filler_step(number) if number % 2 else Step(count=9, millicores=6400, memory_mb=13_000)
+        )
         _add(state, number, step)
         waiting += step.count
         number += 1
-    pass_ms = _timed(state)
-    bound = sum(len(one.runs) - 5 for one in state.runners.values())
-    lone = _state(runners)
-    _add(lone, 0, Step(count=1, millicores=6400, memory_mb=13_000))
-    return Figures(runners, bound, pass_ms, _timed(lone))
+    pass_ms = _placing_ms(state)
+    bound = sum(len(runner.runs) - 5 for runner in state.runners.values())
+    single_task_state = _state(runners)
+    _add(single_task_state, 0, Step(count=1, millicores=6400, memory_mb=13_000))
+    return PassTimes(runners, bound, pass_ms, _placing_ms(single_task_state))
 
 
 def main() -> None:
-    """Print a row for each size."""
+    """Print a row for each number of runners."""
     table = Table("runners", "waiting", "bound", "pass ms", "lone task ms")
-    for runners in SIZES:
-        got = measure(runners)
-        figures = (got.runners, WAITING_TASKS, got.bound, round(got.pass_ms), round(got.lone_ms, 2))
-        table.add_row(*map(str, figures))
+    for runners in RUNNER_COUNTS:
+        times = measure(runners)
+        row = (
+            times.runners,
+            WAITING_TASKS,
+            times.bound,
+            round(times.pass_ms),
+            round(times.single_task_ms, 2),
+        )
+        table.add_row(*map(str, row))
     Console().print(table)
 
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Start and end the real processes of a small fleet for tests and measurements."""
+"""Start and stop the processes of a small fleet for tests and measurements."""
 
 import json
 import os
@@ -13,13 +13,16 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-READY_S = 30.0
-STOP_S = 30.0
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 ZONES = ("a", "b", "c")
 
 
 class Process:
-    """One process that printed its ready line."""
+    """A spoolcrank command running in a process group of its own.
+
+    Its standard output starts with the ready line, a JSON object with the bound addresses.
+    """
 
     def __init__(self, args: list[str], log_path: Path | None = None) -> None:
         command = [sys.executable, "-m", "spoolcrank.cli", *args]
@@ -31,59 +34,59 @@
         self.ready: dict[str, Any] = {}
 
     def wait_ready(self) -> "Process":
-        """Read the ready line."""
+        """Wait for the ready line; raise RuntimeError if the process ends without printing one."""
         assert self.popen.stdout is not None
         line = self.popen.stdout.readline()
         if not line:
-            raise RuntimeError(f"did not start: {self.args}")
+            raise RuntimeError(f"process ended before it was ready: {self.args}")
         self.ready = json.loads(line)
         return self
 
     @property
     def listen(self) -> str:
-        """Return the bound address."""
+        """The address that the process listens on, as host:port."""
         return str(self.ready["listen"])
 
     @property
     def url(self) -> str:
-        """Return the base URL."""
+        """The base URL of the process's HTTP server."""
         return f"http://{self.listen}"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process by its id."""
+        """Send a signal to the process unless it has ended."""
         if self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
     def stop(self) -> int:
-        """End the process as planned and return its exit code."""
+        """Stop the process with SIGTERM and return its exit code."""
         self.signal(signal.SIGTERM)
-        return self.popen.wait(STOP_S)
+        return self.popen.wait(STOP_TIMEOUT_S)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process with SIGKILL and wait until it has ended."""
         self.signal(signal.SIGKILL)
-        self.popen.wait(STOP_S)
+        self.popen.wait(STOP_TIMEOUT_S)
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far, in seconds."""
+        """Return the user and system processor time used so far, in seconds."""
         fields = Path(f"/proc/{self.popen.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory_mb(self) -> float:
-        """Return the resident memory in megabytes."""
-        pages = int(Path(f"/proc/{self.popen.pid}/statm").read_text().split()[1])
-        return pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
+        """Return the resident memory in mebibytes."""
+        resident_pages = int(Path(f"/proc/{self.popen.pid}/statm").read_text().split()[1])
+        return resident_pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
 
 
 class Answer(NamedTuple):
-    """An HTTP answer."""
+    """The status, headers and body of an HTTP response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the body as JSON."""
+        """Parse the body as JSON."""
         return json.loads(self.body)
 
 
@@ -94,7 +97,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> Answer:
-    """Send one HTTP request; error statuses are answers like any other."""
+    """Send one HTTP request and return the answer, also when its status is an error."""
     data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
     req = urllib.request.Request(url, data=data, method=method, headers=headers or {})
     try:
@@ -105,9 +108,13 @@
 
 
 def wait_for(condition: Callable[[], Any], timeout_s: float = 30.0, what: str = "") -> Any:
-    """Wait until a condition holds and return its value; raises TimeoutError."""
-    ends = time.monotonic() + timeout_s
-    while time.monotonic() < ends:
+    """Poll a condition until it returns a true value, and return that value.
+
+    An OSError in the condition counts as false. Raises TimeoutError, with `what` as its text, if
+    the condition stays false for `timeout_s` seconds.
+    """
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         try:
             value = condition()
         except OSError:
@@ -115,11 +122,14 @@
         if value:
             return value
         time.sleep(0.05)
-    raise TimeoutError(what or "the condition did not come to hold")
+    raise TimeoutError(what or "the condition stayed false until the time-out")
 
 
 class BackendPlan(NamedTuple):
-    """One backend server to start."""
+    """The settings of one backend server to start.
+
+    `extra` holds further command-line arguments.
+    """
 
     id: str
     zone: str
@@ -135,7 +145,7 @@
 def plan_backends(
     per_zone: int, service: str = "", extra: tuple[str, ...] = ()
 ) -> list[BackendPlan]:
-    """Return the same number of backend servers for each zone."""
+    """Plan `per_zone` backend servers in each availability zone, on two racks a zone."""
     return [
         BackendPlan(
             f"backend-{zone}{number}", zone, f"{zone}-r{number % 2}", service=service, extra=extra
@@ -146,7 +156,11 @@
 
 
 class Fleet:
-    """A log, a list, entry instances and backend servers, all as processes."""
+    """A fleet of processes: entry instances and backend servers with stand-ins for the platform.
+
+    The stand-ins are the log and the instance list. `via` maps the source, the target and the
+    address of a connection to the address to use instead, such as that of a proxy.
+    """
 
     def __init__(
         self,
@@ -274,39 +288,47 @@
         )
 
     def list_instance(self, name: str, fields: dict[str, Any]) -> None:
-        """Put an instance on the platform's list, or change it there."""
+        """Add an instance to the platform's instance list, or replace its fields there."""
         call("PUT", f"{self.instances.url}/instances/{name}", fields)
 
     def restart_entry(self, name: str) -> Process:
-        """Start an entry instance anew under its name."""
+        """Start a new process for an entry instance and list its new addresses."""
         self.entries[name] = self._start_entry(name).wait_ready()
         self._list_entry(name)
         return self.entries[name]
 
     def restart_backend(self, name: str) -> None:
-        """Start a backend server anew under its name."""
+        """Start a new process for a backend server and list its new address."""
         self.backends[name] = self._start_backend(self.plans[name]).wait_ready()
         self._list_backend(name)
 
     def log_fault(self, mode: str, **fields: Any) -> None:
-        """Order a fault of the log."""
+        """Set the fault mode of the log stand-in."""
         call("POST", f"{self.log.url}/faults", {"mode": mode, **fields})
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether an entry instance says that it is ready."""
+        """Return whether the readiness check of an entry instance succeeds."""
         return call("GET", f"{self.entries[name].url}/health/ready").status == 200
 
     def wait_ready(self, timeout_s: float = 30.0) -> "Fleet":
-        """Wait until every entry instance is ready, serves, and every server has an owner."""
-        wait_for(lambda: all(self.is_ready(name) for name in self.entries), timeout_s, "not ready")
+        """Wait until the whole fleet can work.
+
+        Every entry instance is ready, every backend server has an owner, and every entry instance
+        answers requests of every service. `timeout_s` applies to each of these steps.
+        """
+        wait_for(
+            lambda: all(self.is_ready(name) for name in self.entries), timeout_s, "entry not ready"
+        )
         wait_for(
             lambda: all(self.journal(name)["owner"] for name in self.backends),
             timeout_s,
-            "not owned",
+            "backend server without owner",
         )
         services = {plan.service for plan in self.plans.values() if plan.service}
         for service in services:
-            wait_for(lambda service=service: self._all_serve(service), timeout_s, "not served")
+            wait_for(
+                lambda service=service: self._all_serve(service), timeout_s, "service not served"
+            )
         return self
 
     def _all_serve(self, service: str) -> bool:
@@ -314,32 +336,32 @@
         return all(call("POST", url, b"ready?").status == 200 for url in urls)
 
     def journal(self, name: str) -> Any:
-        """Return a backend server's journal."""
+        """Return the journal of a backend server: its owner, runs and overcommits."""
         return call("GET", f"{self.backends[name].url}/journal").json()
 
     def metrics(self, name: str) -> Any:
-        """Return an entry instance's metrics."""
+        """Return the metrics of an entry instance."""
         return call("GET", f"{self.entries[name].url}/metrics").json()
 
     def submit(self, at: str, **job: Any) -> str:
-        """Submit a job at an entry instance and return its id."""
+        """Submit a job at an entry instance and return its id; raise RuntimeError if refused."""
         answer = call("POST", f"{self.entries[at].url}/jobs", job)
         if answer.status != 202:
             raise RuntimeError(f"{answer.status} {answer.body!r}")
         return str(answer.json()["id"])
 
     def job(self, name: str, job: str) -> Any:
-        """Return a job as an entry instance shows it."""
+        """Return the state of a job as an entry instance reports it."""
         return call("GET", f"{self.entries[name].url}/jobs/{job}").json()
 
     def close(self) -> None:
-        """End everything."""
-        everything = [*self.entries.values(), *self.backends.values(), self.instances, self.log]
-        for process in everything:
+        """Kill every process, including suspended ones, and remove the temporary files."""
+        processes = [*self.entries.values(), *self.backends.values(), self.instances, self.log]
+        for process in processes:
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
-        for process in everything:
-            process.popen.wait(STOP_S)
+        for process in processes:
+            process.popen.wait(STOP_TIMEOUT_S)
         self._dir.cleanup()
 
     def __enter__(self) -> "Fleet":
--- a/bench/results.py
+++ b/bench/results.py
@@ -1,15 +1,20 @@
-"""Sum up paired runs as entries of `bench/results.json`."""
+"""Summaries of paired runs, as entries of `bench/results.json`."""
 
 import statistics
 from typing import Any
 
 
-def entry(
+def result_entry(
     measure: str, unit: str, better: str, baseline: list[float], policy: list[float]
 ) -> dict[str, Any]:
-    """Return one result: medians, and the median of the pairs' ratios."""
-    paired = zip(policy[:: _stride(policy, baseline)], baseline, strict=False)
-    ratios = [mine / other for mine, other in paired if other]
+    """Summarise paired runs by their medians and the median of the ratios of the pairs.
+
+    The ratio of a pair is policy to baseline; pairs with a baseline of 0 have none.
+    """
+    pairs = zip(policy[:: _stride(policy, baseline)], baseline, strict=False)
+    ratios = [
+        policy_value / baseline_value for policy_value, baseline_value in pairs if baseline_value
+    ]
     return {
         "measure": measure,
         "unit": unit,
@@ -23,5 +28,8 @@
 
 
 def _stride(policy: list[float], baseline: list[float]) -> int:
-    """Return which of the policy's runs have a partner; a baseline may run every other time."""
+    """Return the step between the policy's runs that have a partner in the baseline.
+
+    A baseline of another length ran only with every second run of the policy.
+    """
     return 1 if len(policy) == len(baseline) else 2
