--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,4 @@
-"""Run a small fleet of real processes under load and check its promises at the end."""
+"""Run a small fleet of real processes under load and check the invariants at the end."""
 
 import signal
 import threading
@@ -17,7 +17,7 @@
 
 
 class Scenario:
-    """A fleet behind a fault proxy, with requests and jobs on their way."""
+    """A fleet under load, optionally behind a fault proxy, and the jobs submitted to it."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         ).wait_ready()
         self.once_only: list[str] = []
         self.jobs: list[str] = []
-        self.dead_journals: list[Any] = []
+        self.ended_journals: list[Any] = []
         self.report = LoadReport()
         self._stop = threading.Event()
         self._thread: threading.Thread | None = None
@@ -50,10 +50,10 @@
     def entry(self, name: str) -> Process:
         return self.fleet.entries[name]
 
-    def offer(
+    def start_load(
         self, entries: list[str] | None = None, keyed_share: float = 0.2, rate: float = RATE
     ) -> None:
-        """Start to offer requests to the named entry instances until `settle`."""
+        """Send requests to the named entry instances, by default to all, until `stop_load`."""
         names = entries or list(self.fleet.entries)
         urls = [self.fleet.entries[name].url for name in names]
         plan = LoadPlan(urls, SERVICE, rate, 600.0, keyed_share=keyed_share)
@@ -71,8 +71,8 @@
             self.once_only.append(job_id)
         return job_id
 
-    def submit_mix(self, at: str, run_s: float = 3.0, tasks: int = 12) -> None:
-        """Submit repeatable and once-only work that fills the fleet's servers."""
+    def submit_mixed_jobs(self, at: str, run_s: float = 3.0, tasks: int = 12) -> None:
+        """Submit one repeatable and one once-only job that together fill the backend servers."""
         size = {"processors": 3, "memory_mb": 2000}
         payload = {"run_s": run_s}
         self.submit(at, name="renewal", tasks=tasks, size=size, payload=payload)
@@ -81,61 +81,66 @@
     def states(self, at: str) -> list[str]:
         return [str(self.fleet.job(at, job)["state"]) for job in self.jobs]
 
-    def wait_running(self, at: str, least: int = 1) -> None:
+    def wait_running(self, at: str, min_running: int = 1) -> None:
         def running() -> int:
             tasks = [task for job in self.jobs for task in self.fleet.job(at, job)["tasks"]]
             return sum(task["state"] == "running" for task in tasks)
 
-        wait_for(lambda: running() >= least, 30, "tasks did not start")
+        wait_for(lambda: running() >= min_running, 30, "tasks did not start")
 
     def wait_ended(self, at: str, timeout_s: float = 60.0) -> None:
         try:
             wait_for(lambda: set(self.states(at)) <= ENDED, timeout_s, "jobs have not ended")
         except TimeoutError as exc:
-            raise TimeoutError(f"{exc}:\n{self._tell_open(at)}") from exc
+            raise TimeoutError(f"{exc}:\n{self._describe_open_tasks(at)}") from exc
 
-    def _tell_open(self, at: str) -> str:
-        """Return what instances say of tasks that have not ended, and the log's records of them."""
+    def _describe_open_tasks(self, at: str) -> str:
+        """Describe the tasks that have not ended, with explanations and the newest log records."""
         records = self._records()
         lines = [
-            f"claims: {[one for one in records if one['record']['record']['kind'] == 'claim']}"
+            f"claims: {[item for item in records if item['record']['record']['kind'] == 'claim']}"
         ]
         for job in self.jobs:
-            tasks = [one for one in self.fleet.job(at, job)["tasks"] if one["state"] not in ENDED]
+            tasks = [
+                entry for entry in self.fleet.job(at, job)["tasks"] if entry["state"] not in ENDED
+            ]
             for task in tasks:
-                lines += [str(task), *self._views(task["id"])]
-                lines += [str(one) for one in records if task["id"] in str(one)][-4:]
+                lines += [str(task), *self._explanations(task["id"])]
+                lines += [str(item) for item in records if task["id"] in str(item)][-4:]
         return "\n".join(lines)
 
-    def _views(self, task: str) -> list[str]:
-        """Return how each instance explains where a task stands."""
-        views = []
+    def _explanations(self, task: str) -> list[str]:
+        """Return the answer of each entry instance to the command `why` for a task."""
+        explanations = []
         for name, process in self.fleet.entries.items():
             body = {"text": f"why {task}", "id": f"{name}-{task}"}
             try:
-                views.append(f"  {name}: {call('POST', f'{process.url}/commands', body).body!r}")
+                explanations.append(
+                    f"  {name}: {call('POST', f'{process.url}/commands', body).body!r}"
+                )
             except OSError as exc:
-                views.append(f"  {name}: {exc!r}")
-        return views
+                explanations.append(f"  {name}: {exc!r}")
+        return explanations
 
     def stop_load(self) -> LoadReport:
+        """Stop sending requests and return the answers that the callers received."""
         self._stop.set()
         if self._thread is not None:
             self._thread.join(60)
         return self.report
 
     def breaches(self) -> list[promises.Breach]:
-        """End the load and return every broken promise."""
+        """Stop the load and return every violated invariant."""
         report = self.stop_load()
         journals = [self.fleet.journal(name) for name in self.fleet.backends]
-        found = promises.check([*journals, *self.dead_journals], report.seen, self.once_only)
-        if found:
-            self._show_records(found, journals)
-        return found
-
-    def _show_records(self, found: list[promises.Breach], journals: list[Any]) -> None:
-        """Print what the log and the journals hold of the first task that broke a promise."""
-        task = found[0].detail.replace(":", " ").split()[0]
+        violations = promises.check([*journals, *self.ended_journals], report.seen, self.once_only)
+        if violations:
+            self._print_records(violations, journals)
+        return violations
+
+    def _print_records(self, violations: list[promises.Breach], journals: list[Any]) -> None:
+        """Print all log records and journal entries of the task of the first violation."""
+        task = violations[0].detail.replace(":", " ").split()[0]
         for item in self._records():
             kind = item["record"]["record"]["kind"]
             if kind == "claim" or task in str(item):
@@ -144,7 +149,7 @@
             print([run for run in journal["runs"] if run["task"] == task])
 
     def _records(self) -> list[Any]:
-        """Return all that the log holds of control records."""
+        """Return all control records of the log."""
         url = f"{self.fleet.log.url}/streams/spoolcrank/records?max=500&from="
         offset, records = 0, []
         while page := call("GET", f"{url}{offset}").json()["records"]:
@@ -153,9 +158,9 @@
         return records
 
     def owner_of(self, server: str) -> str:
-        """Return the entry instance that a server obeys."""
+        """Return the entry instance whose commands a backend server accepts."""
         return str(self.fleet.journal(server)["owner"]).rsplit("-", 1)[0]
 
-    def wait_owner(self, server: str, other_than: str, timeout_s: float = 30.0) -> str:
+    def wait_new_owner(self, server: str, other_than: str, timeout_s: float = 30.0) -> str:
         wait_for(lambda: self.owner_of(server) != other_than, timeout_s, f"{server} kept its owner")
         return self.owner_of(server)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -1,4 +1,8 @@
-"""The paired comparison of two checkouts: reading reports, intervals, switching off."""
+"""Paired comparison of two checkouts: reports, confidence intervals, disabled mechanisms.
+
+The tests guard against differences that are reported wrongly or as more certain than they are, and
+against a comparison that changes the checkout itself.
+"""
 
 import tomllib
 from pathlib import Path
@@ -20,23 +24,23 @@
     return read_play(report(worth, broken))
 
 
-def test_a_play_without_a_figure_counts_nothing() -> None:
+def test_report_without_a_value_counts_as_zero() -> None:
     assert read_play(report(None)).worth == 0.0
 
 
-def test_pairs_that_all_differ_alike_bound_their_mean_closely() -> None:
-    held = interval([0.02, 0.02, 0.02])
-    assert held == (0.02, 0.02, 0.02)
+def test_equal_differences_give_an_interval_without_width() -> None:
+    result = interval([0.02, 0.02, 0.02])
+    assert result == (0.02, 0.02, 0.02)
     low, high = interval([0.0, 0.1, 0.05, 0.15])[1:]
     assert low < 0.075 < high
     assert abs((low + high) / 2 - 0.075) < 1e-9
 
 
-def test_one_pair_bounds_nothing() -> None:
+def test_single_pair_gives_an_unbounded_interval() -> None:
     assert interval([0.5]).high == float("inf")
 
 
-def test_the_table_tells_each_day_each_class_and_what_broke() -> None:
+def test_table_shows_each_day_each_class_and_broken_rules() -> None:
     pairs = [
         Pair("d-1", 11, play(0.4), play(0.5)),
         Pair("d-1", 12, play(0.5), play(0.5, {"HARM": 2})),
@@ -47,7 +51,7 @@
     assert "a: 0.500 +0.000" in text
 
 
-def test_a_mechanism_is_switched_off_in_a_copy_only(tmp_path: Path) -> None:
+def test_mechanisms_are_disabled_only_in_a_copy(tmp_path: Path) -> None:
     (tmp_path / "here" / "deploy").mkdir(parents=True)
     deploy = tmp_path / "here" / "deploy" / "system.toml"
     deploy.write_text('build = "true"\n[roles.scheduler]\nrun = "python3 x"\n')
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,13 @@
-"""A state machine test of several owners' decisions, and mutations that it must detect."""
+"""Random faults against the decisions of several owners, and mutations that must be detected.
+
+The state machine crashes, pauses, isolates and delays owners and restarts backend servers, and
+checks the invariants after each step. The test guards against tasks that run twice, overcommitted
+servers and tasks that never end. Each mutation removes one safeguard of the product; a machine
+that does not detect it is too weak.
+
+Hypothesis derives the seed from the source of the state machine, so that any change to the class,
+also of a name, changes the steps that it tries.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,13 +27,17 @@
 from spoolcrank.policy import Policy
 from tests.world import OWNERS, SERVERS, World
 
-RECOVERY_S = 240.0
-STEP_S = 0.5
+SETTLE_S = 240.0
+"""Simulated time from the end of the faults within which all tasks must end, seconds."""
+
+TURN_S = 0.5
+"""Simulated time between two checks of the invariants, seconds."""
+
 MAX_JOBS = 6
 owners = st.sampled_from(OWNERS)
 backends = st.sampled_from(SERVERS)
 
-STANDARD_SEARCH = settings(
+CHECK_SETTINGS = settings(
     max_examples=80,
     stateful_step_count=25,
     derandomize=True,
@@ -33,13 +46,18 @@
     suppress_health_check=list(HealthCheck),
     phases=[Phase.generate],
 )
-MUTATION_SEARCH = settings(STANDARD_SEARCH, max_examples=800)
+MUTATION_SETTINGS = settings(CHECK_SETTINGS, max_examples=800)
 
 
 def make_machine(
     make_world: Callable[[], World], check_end: bool = True
 ) -> type[RuleBasedStateMachine]:
-    """Return the state machine class for a world; `make_world` can supply a mutated world."""
+    """Return a state machine class that tests the worlds of a factory.
+
+    Args:
+        make_world: returns a new world, for some mutations one without a safeguard.
+        check_end: whether all tasks must end once the faults are removed.
+    """
 
     class Machine(RuleBasedStateMachine):
         def __init__(self) -> None:
@@ -121,8 +139,8 @@
             self.world.heal()
 
         @invariant()
-        def invariants_hold(self) -> None:
-            self.world.advance(STEP_S)
+        def promises_hold(self) -> None:
+            self.world.advance(TURN_S)
             breaches = self.world.breaches()
             assert breaches == [], breaches[0]
 
@@ -130,50 +148,50 @@
             if not check_end:
                 return
             self.world.heal()
-            self.world.advance(RECOVERY_S)
-            self.invariants_hold()
+            self.world.advance(SETTLE_S)
+            self.promises_hold()
             assert self.world.open_tasks() == []
 
     return Machine
 
 
-def run(make_world: Callable[[], World], how: settings, check_end: bool = True) -> None:
+def run(make_world: Callable[[], World], run_settings: settings, check_end: bool = True) -> None:
     machine: Any = make_machine(make_world, check_end)
-    run_state_machine_as_test(machine, settings=how)
+    run_state_machine_as_test(machine, settings=run_settings)
 
 
-def test_promises_hold_under_random_faults() -> None:
-    run(World, STANDARD_SEARCH)
+def test_invariants_hold_under_random_faults() -> None:
+    run(World, CHECK_SETTINGS)
 
 
-def test_taking_out_the_fence_is_found() -> None:
+def test_missing_fence_is_detected() -> None:
     with pytest.raises(AssertionError, match="Breach"):
-        run(lambda: World(fenced=False), MUTATION_SEARCH, check_end=False)
+        run(lambda: World(fenced=False), MUTATION_SETTINGS, check_end=False)
 
 
-def test_taking_out_the_adoption_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that assumes an empty server instead of adopting it starts running tasks again."""
+def test_missing_adoption_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An owner that ignores what runs on a server it adopts starts those tasks again."""
     original = servers.on_report
 
-    def without_attempts(owned: Any, report: Any, *rest: Any) -> Any:
+    def without_running_tasks(owned: Any, report: Any, *rest: Any) -> Any:
         if owned.phase is not servers.Phase.READY:
             report = report.model_copy(update={"running": [], "ended": []})
         return original(owned, report, *rest)
 
-    monkeypatch.setattr(servers, "on_report", without_attempts)
-    monkeypatch.setattr(servers, "allocated", _sum_of_report_only)
+    monkeypatch.setattr(servers, "on_report", without_running_tasks)
+    monkeypatch.setattr(servers, "allocated", _allocated_without_ledger)
     with pytest.raises(AssertionError, match="Breach"):
-        run(World, MUTATION_SEARCH, check_end=False)
+        run(World, MUTATION_SETTINGS, check_end=False)
 
 
-def _sum_of_report_only(owned: Any, ledger: Any) -> Any:
+def _allocated_without_ledger(owned: Any, ledger: Any) -> Any:
     sizes = [record.size.resources for record in owned.placing.values()]
     if owned.report is not None:
         sizes += [running.size.resources for running in owned.report.running]
     return servers.total(sizes)
 
 
-def test_taking_out_the_lease_margin_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_lease_margin_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     original = ownership.may_declare_lost
 
     def without_margin(
@@ -183,10 +201,10 @@
 
     monkeypatch.setattr(ownership, "may_declare_lost", without_margin)
     with pytest.raises(AssertionError, match="Breach"):
-        run(World, MUTATION_SEARCH, check_end=False)
+        run(World, MUTATION_SETTINGS, check_end=False)
 
 
-def test_an_owner_is_preferred_by_name_alone() -> None:
+def test_each_server_has_exactly_one_owner_at_start() -> None:
     world = World()
     owned = {name: sorted(owner.core.owned) for name, owner in world.owners.items()}
     assert sorted(name for names in owned.values() for name in names) == [
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,9 @@
-"""End-to-end tests with real processes, including invalid input."""
+"""Requests, jobs, configuration and invalid input on a fleet of real processes.
+
+The tests guard against faults that appear only between processes: wrong answers to invalid input, a
+configuration that is rolled back, new work on a leaving server, and an instance that cannot start
+once the records it would read have expired from the log.
+"""
 
 import socket
 import time
@@ -7,7 +12,9 @@
 
 from tests.scenario import Scenario, call, wait_for
 
-IN_FLIGHT_START_S = 0.5
+START_DELAY_S = 0.5
+"""Time after all instances report a server as drained in which placements made before may still
+start, seconds."""
 
 
 def send_raw(address: str, data: bytes) -> bytes:
@@ -17,7 +24,7 @@
         return sock.recv(65536)
 
 
-def test_services_and_jobs_of_all_classes_and_bad_input() -> None:
+def test_services_and_jobs_of_all_classes_and_invalid_input() -> None:
     with Scenario() as run:
         entry = run.entry("entry-a1")
         for name in run.fleet.entries:
@@ -81,14 +88,12 @@
         address, b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: abc\r\n\r\n"
     )
     assert b" 400 " in send_raw(address, b"NONSENSE\r\n\r\n")
-    with socket.create_connection(
-        (address.split(":")[0], int(address.split(":")[1]))
-    ) as incomplete_request:
-        incomplete_request.sendall(b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{")
+    with socket.create_connection((address.split(":")[0], int(address.split(":")[1]))) as half:
+        half.sendall(b"POST /jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{")
         assert call("GET", f"{url}/health/live").status == 200
 
 
-def test_wrong_settings_are_all_named_at_once(capfd: pytest.CaptureFixture[str]) -> None:
+def test_all_invalid_settings_are_reported_together(capfd: pytest.CaptureFixture[str]) -> None:
     from spoolcrank.errors import SettingsError
     from spoolcrank.settings import check_entry
 
@@ -114,52 +119,46 @@
         def versions() -> set[int]:
             return {call("GET", f"{run.entry(name).url}/config").json()["version"] for name in urls}
 
-        wait_for(
-            lambda: versions() == {1}, 14, "configuration not in force on every entry instance"
-        )
+        wait_for(lambda: versions() == {1}, 14, "the configuration is not in force everywhere")
         run.fleet.log_fault("down")
         run.entry("entry-b1").kill()
         run.fleet.restart_entry("entry-b1")
-        wait_for(
-            lambda: run.fleet.is_ready("entry-b1"), 30, "entry instance not ready without the log"
-        )
+        wait_for(lambda: run.fleet.is_ready("entry-b1"), 30, "not ready from its peers")
         assert versions() == {1}
         assert call("GET", f"{run.entry('entry-b1').url}/config").json()["toml"] == toml.decode()
 
 
-def test_leaving_server_gets_no_new_work_and_its_batch_resumes_elsewhere() -> None:
+def test_leaving_server_gets_no_new_work_and_its_tasks_resume_elsewhere() -> None:
     with Scenario() as run:
         size = {"processors": 8, "memory_mb": 1000}
         run.submit("entry-a1", name="move", tasks=6, size=size, payload={"run_s": 6})
         run.wait_running("entry-a1", 6)
         assert run.fleet.journal("backend-a1")["runs"]
         run.fleet.list_instance("backend-a1", {"state": "leaving"})
-        wait_for(lambda: all(sees_drained(run, name) for name in run.fleet.entries), 5)
-        seen_at = time.time()
+        wait_for(lambda: all(reports_drained(run, name) for name in run.fleet.entries), 5)
+        drained_at = time.time()
         run.submit("entry-a1", name="late", tasks=6, size=size, payload={"run_s": 1})
         run.wait_ended("entry-a1")
         assert run.states("entry-a1") == ["finished", "finished"]
         runs = run.fleet.journal("backend-a1")["runs"]
-        assert all(attempt["start"] < seen_at + IN_FLIGHT_START_S for attempt in runs)
+        assert all(attempt["start"] < drained_at + START_DELAY_S for attempt in runs)
         assert any(attempt["how"] == "evicted" for attempt in runs)
         assert run.breaches() == []
 
 
-def sees_drained(run: Scenario, name: str) -> bool:
+def reports_drained(run: Scenario, name: str) -> bool:
     body = {"text": "show workers where instance=backend-a1"}
     rows = call("POST", f"{run.entry(name).url}/commands", body).json()["rows"]
     return bool(rows and rows[0]["drained"])
 
 
-def test_new_instance_starts_from_a_snapshot_after_retention() -> None:
+def test_restarted_instance_loads_a_snapshot_once_log_records_expired() -> None:
     with Scenario(retention_s=8.0) as run:
         old = run.submit("entry-a1", name="old", payload={"run_s": 0.2})
         run.wait_ended("entry-a1")
         log = f"{run.fleet.log.url}/streams/spoolcrank/records?from=0"
-        wait_for(lambda: call("GET", log).json()["first"] > 2, 40, "no log record expired")
+        wait_for(lambda: call("GET", log).json()["first"] > 2, 40, "nothing expired")
         run.entry("entry-c1").kill()
         run.fleet.restart_entry("entry-c1")
-        wait_for(
-            lambda: run.fleet.is_ready("entry-c1"), 30, "entry instance not ready after its restart"
-        )
+        wait_for(lambda: run.fleet.is_ready("entry-c1"), 30, "not ready")
         assert run.fleet.job("entry-c1", old)["state"] == "finished"
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -1,4 +1,8 @@
-"""The ladder: persistent harm steps down, calm grows back, budgets hold."""
+"""Mitigation of batch tasks that slow the service on the same server.
+
+Lasting harm is first throttled, then evicted within a budget. The tests guard against services that
+stay slow, and against batch tasks that are throttled or evicted without being the cause.
+"""
 
 from collections.abc import Callable
 
@@ -27,61 +31,63 @@
         )
         for number, name in enumerate(classes)
     ]
-    nobody = Incarnation("w")
-    return Report(incarnation=nobody, owner=nobody, epoch=Epoch(1), clock=0.0, running=running)
+    incarnation = Incarnation("w")
+    return Report(
+        incarnation=incarnation, owner=incarnation, epoch=Epoch(1), clock=0.0, running=running
+    )
 
 
-def drive(
-    learnt: Learnt, told: Report, latency_s: float, begin: float, seconds: float, policy: Policy
+def run_mitigation(
+    learnt: Learnt, reported: Report, latency_s: float, begin: float, seconds: float, policy: Policy
 ) -> list[interference.Step]:
     steps: list[interference.Step] = []
-    for tenth in range(round(seconds * 10)):
-        now = begin + tenth / 10
+    for tick in range(round(seconds * 10)):
+        now = begin + tick / 10
         learnt.on_latency(SERVER, latency_s, now)
-        steps += ladder.step(learnt, SERVER, SERVICE, "new", told, RATE, policy, now)
+        steps += ladder.step(learnt, SERVER, SERVICE, "new", reported, RATE, policy, now)
     return steps
 
 
-def test_short_burst_is_left_to_steering_and_lasting_harm_is_throttled() -> None:
+def test_short_slowdown_is_left_to_routing_and_a_lasting_one_is_throttled() -> None:
     learnt = Learnt()
-    told = report("noisy", "noisy")
-    assert drive(learnt, told, 0.02, 0.0, 3.0, DEFAULT) == []
-    assert drive(learnt, told, 0.08, 3.0, 1.5, DEFAULT) == []
-    steps = drive(learnt, told, 0.08, 4.5, 3.0, DEFAULT)
-    assert steps and all(isinstance(one, ThrottleTask) for one in steps)
+    reported = report("noisy", "noisy")
+    assert run_mitigation(learnt, reported, 0.02, 0.0, 3.0, DEFAULT) == []
+    assert run_mitigation(learnt, reported, 0.08, 3.0, 1.5, DEFAULT) == []
+    steps = run_mitigation(learnt, reported, 0.08, 4.5, 3.0, DEFAULT)
+    assert steps and all(isinstance(step, ThrottleTask) for step in steps)
     assert learnt.level(SERVER) is Level.THROTTLED
 
 
 def test_evictions_stay_within_their_budget_and_lose_the_least_work() -> None:
     learnt = Learnt()
-    drive(learnt, report("noisy"), 0.02, 0.0, 3.0, DEFAULT)
-    told = report("noisy", "noisy", throttle=0.1)
-    steps = drive(learnt, told, 0.2, 3.0, 50.0, DEFAULT)
-    evicted = [one for one in steps if isinstance(one, EvictTask)]
+    run_mitigation(learnt, report("noisy"), 0.02, 0.0, 3.0, DEFAULT)
+    reported = report("noisy", "noisy", throttle=0.1)
+    steps = run_mitigation(learnt, reported, 0.2, 3.0, 50.0, DEFAULT)
+    evicted = [step for step in steps if isinstance(step, EvictTask)]
     assert 0 < len(evicted) <= DEFAULT.interference.evictions_per_minute
     assert evicted[0].task == "job-0.0"
 
 
-def test_pairs_are_learnt_told_and_forgotten() -> None:
+def test_pair_estimates_are_learned_shared_and_forgotten() -> None:
     learnt = Learnt()
-    drive(learnt, report("noisy"), 0.02, 0.0, 3.0, DEFAULT)
-    drive(learnt, report("noisy"), 0.06, 3.0, 10.0, DEFAULT)
+    run_mitigation(learnt, report("noisy"), 0.02, 0.0, 3.0, DEFAULT)
+    run_mitigation(learnt, report("noisy"), 0.06, 3.0, 10.0, DEFAULT)
     known = learnt.known_slowdown(SERVICE, TaskClass("noisy"), "new", DEFAULT, 13.0)
     assert known is not None and known > 0.5
     successor = Learnt()
     successor.hear(learnt.tell(13.0), 13.0)
-    heard = successor.known_slowdown(SERVICE, TaskClass("noisy"), "new", DEFAULT, 13.0)
-    assert heard == known
+    merged = successor.known_slowdown(SERVICE, TaskClass("noisy"), "new", DEFAULT, 13.0)
+    assert merged == known
     later = 13.0 + 4 * DEFAULT.interference.forget_s
     faded = learnt.known_slowdown(SERVICE, TaskClass("noisy"), "new", DEFAULT, later)
     assert faded is not None and faded < known / 10
 
 
-def test_class_is_called_quiet_only_by_samples_of_its_own_time() -> None:
+def test_class_counts_as_quiet_only_by_samples_taken_while_it_ran() -> None:
     learnt = Learnt()
-    drive(learnt, report("fresh", ran_s=0.5), 0.02, 0.0, 5.0, DEFAULT)
+    run_mitigation(learnt, report("fresh", ran_s=0.5), 0.02, 0.0, 5.0, DEFAULT)
     assert learnt.known_slowdown(SERVICE, TaskClass("fresh"), "new", DEFAULT, 5.0) is None
-    drive(learnt, report("fresh", ran_s=5.0), 0.02, 5.0, 5.0, DEFAULT)
+    run_mitigation(learnt, report("fresh", ran_s=5.0), 0.02, 5.0, 5.0, DEFAULT)
     assert learnt.known_slowdown(SERVICE, TaskClass("fresh"), "new", DEFAULT, 10.0) == 0.0
 
 
@@ -99,44 +105,48 @@
     assert not everywhere.is_suspect(SERVER)
 
 
-def play(latency_s: Callable[[float], float], seconds: float) -> list[interference.Step]:
-    """Let two tasks run as they are told, with the latency that follows from their speeds."""
+def simulate_tasks(latency_s: Callable[[float], float], seconds: float) -> list[interference.Step]:
+    """Run two tasks at the speeds that mitigation sets, and return the steps that it takes.
+
+    Args:
+        latency_s: returns the latency of the service at a total speed of the tasks.
+        seconds: simulated time.
+    """
     learnt = Learnt()
-    drive(learnt, report("noisy", "noisy"), latency_s(0.0), 0.0, 3.0, DEFAULT)
+    run_mitigation(learnt, report("noisy", "noisy"), latency_s(0.0), 0.0, 3.0, DEFAULT)
     speeds = {"job-0.0": 1.0, "job-1.0": 1.0}
     steps: list[interference.Step] = []
-    for tenth in range(30, round(seconds * 10)):
-        now = tenth / 10
-        told = report(*["noisy"] * len(speeds))
+    for tick in range(30, round(seconds * 10)):
+        now = tick / 10
+        reported = report(*["noisy"] * len(speeds))
         running = [
             run.model_copy(update={"throttle": speed})
-            for run, speed in zip(told.running, speeds.values(), strict=True)
+            for run, speed in zip(reported.running, speeds.values(), strict=True)
         ]
-        told = told.model_copy(update={"running": running})
+        reported = reported.model_copy(update={"running": running})
         learnt.on_latency(SERVER, latency_s(sum(speeds.values())), now)
-        for step in ladder.step(learnt, SERVER, SERVICE, "new", told, RATE, DEFAULT, now):
+        for step in ladder.step(learnt, SERVER, SERVICE, "new", reported, RATE, DEFAULT, now):
             steps.append(step)
             if isinstance(step, ThrottleTask):
                 speeds[step.task] = step.share
     return steps
 
 
-def test_work_that_is_not_the_cause_is_neither_stopped_nor_kept_slow() -> None:
-    """Batch jobs took over six times their time while their servers' services were slow.
+def test_tasks_that_are_not_the_cause_are_neither_evicted_nor_kept_throttled() -> None:
+    """Guard against batch jobs that take over six times as long beside slow services.
 
-    Seen: three tests of real processes had jobs that had not ended 60 s after their fault, once
-    each beside other load. With all runners made four times as slow by a fault, and nothing else,
-    jobs of 8 s ended after 51.4 s: on each server four tasks were stopped and the others slowed to
-    a third, and what was stopped waited 30 s for a calm server. Without it they took 7 to 9 s.
-    Cause: a slow service was always taken for the doing of the batch work beside it.
-    Proof: this test, without the mend, stops tasks.
+    A slow service was always attributed to the batch tasks on its server. With all runners made
+    four times as slow by a fault, and nothing else, jobs of 8 s ended after 51.4 s: on each server
+    four tasks were evicted and the others throttled to a third, and the evicted ones waited 30 s
+    for a server with normal latency. Otherwise they took 7 to 9 s. Three tests of real
+    processes had jobs that had not ended 60 s after their fault, once each under other load.
     """
-    steps = play(lambda speed: 0.02 if speed == 0.0 else 0.08, 60.0)
-    assert not [one for one in steps if isinstance(one, EvictTask)]
-    slowed_s = sum(1.0 for one in steps if isinstance(one, ThrottleTask) and one.share < 1.0)
+    steps = simulate_tasks(lambda speed: 0.02 if speed == 0.0 else 0.08, 60.0)
+    assert not [step for step in steps if isinstance(step, EvictTask)]
+    slowed_s = sum(1.0 for step in steps if isinstance(step, ThrottleTask) and step.share < 1.0)
     assert 0 < slowed_s <= 8
 
 
-def test_work_that_is_the_cause_in_part_is_stopped_once_slowing_it_is_not_enough() -> None:
-    steps = play(lambda speed: 0.02 + 0.04 * speed, 30.0)
-    assert [one for one in steps if isinstance(one, EvictTask)]
+def test_tasks_that_are_part_of_the_cause_are_evicted_if_throttling_is_not_enough() -> None:
+    steps = simulate_tasks(lambda speed: 0.02 + 0.04 * speed, 30.0)
+    assert [step for step in steps if isinstance(step, EvictTask)]
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,3 +1,9 @@
+"""Parsing of job descriptions.
+
+The tests guard against refusals that do not name the invalid field, and against error kinds
+without a defined answer.
+"""
+
 import json
 
 import pytest
@@ -7,7 +13,7 @@
 from spoolcrank.jobs import JobClass, parse_job
 
 
-def test_reads_a_job_with_defaults() -> None:
+def test_parses_a_job_with_defaults() -> None:
     match parse_job(b'{"name": "settle", "class": "watcher", "tasks": 3}'):
         case Success(spec):
             assert spec.job_class is JobClass.WATCHER
@@ -31,7 +37,7 @@
         ({"deadline_s": -5}, "deadline_s"),
     ],
 )
-def test_names_the_bad_field(change: dict[str, object], field: str) -> None:
+def test_names_the_invalid_field(change: dict[str, object], field: str) -> None:
     match parse_job(json.dumps({"name": "settle"} | change).encode()):
         case Failure(refusal):
             assert refusal.kind is ErrorKind.BAD_FIELD
@@ -41,7 +47,7 @@
             pytest.fail(str(other))
 
 
-def test_says_that_a_body_is_not_json() -> None:
+def test_reports_a_body_that_is_not_json() -> None:
     match parse_job(b'{"name": '):
         case Failure(refusal):
             assert refusal.kind is ErrorKind.BAD_JSON
@@ -49,5 +55,5 @@
             pytest.fail(str(other))
 
 
-def test_every_kind_has_an_answer() -> None:
+def test_every_error_kind_has_an_answer() -> None:
     assert set(ANSWERS) == set(ErrorKind)
--- a/tests/test_lost_servers.py
+++ b/tests/test_lost_servers.py
@@ -1,4 +1,8 @@
-"""A task that crashes the backend servers that start it, on our own interface."""
+"""A task that crashes every backend server on which it starts.
+
+Each lost run puts the task back to wait. The tests guard against a task that is started again and
+again and so takes down server after server, and against sound tasks that are given up with it.
+"""
 
 import random
 
@@ -14,18 +18,18 @@
 from tests.world import STEP_S, World
 
 SERVERS = tuple(f"backend-{number}" for number in range(8))
-MOST_STARTS = 2
-"""Starts of a task after the third server crashed under it; as on the users' platform."""
+MAX_STARTS = 2
+"""Limit of the starts of a task after its third crash of a server, as on the users' platform."""
 
-SOUND = 24
-SETTLE_S = 60.0
-BAD = TaskId("job-1.0")
+SOUND_JOBS = 24
+MAX_RECOVERY_S = 60.0
+CRASHING_TASK = TaskId("job-1.0")
 
 
-def _crash_servers_of_bad(world: World, crashes: list[float]) -> None:
-    """Crash each server that runs the bad task, and start it anew."""
+def _crash_servers_of_crashing_task(world: World, crashes: list[float]) -> None:
+    """Restart each server that runs the crash-causing task, and record the time of each crash."""
     for name, worker in list(world.workers.items()):
-        if BAD in worker.running:
+        if CRASHING_TASK in worker.running:
             crashes.append(world.now)
             world.start_worker(name)
 
@@ -34,75 +38,83 @@
     journals = [*world.journals]
     for name, worker in world.workers.items():
         journals.append(worlds._journal(name, worker.journal(world.now), worker))
-    return sorted(run["start"] for one in journals for run in one["runs"] if run["task"] == BAD)
+    return sorted(
+        run["start"]
+        for journal in journals
+        for run in journal["runs"]
+        if run["task"] == CRASHING_TASK
+    )
 
 
-def _play(monkeypatch: pytest.MonkeyPatch, replace_owners: bool) -> tuple[World, list[float]]:
+def _run_with_crashing_task(
+    monkeypatch: pytest.MonkeyPatch, replace_owners: bool
+) -> tuple[World, list[float]]:
     monkeypatch.setattr(worlds, "SERVERS", SERVERS)
     world = World()
     crashes: list[float] = []
     world.submit(1, 3.0, True, name="bad")
-    for number in range(SOUND):
+    for number in range(SOUND_JOBS):
         world.submit(1, 4.0, True)
         for _ in range(6):
             world.advance(STEP_S)
-            _crash_servers_of_bad(world, crashes)
+            _crash_servers_of_crashing_task(world, crashes)
         if replace_owners and number % 6 == 5:
             name = worlds.OWNERS[number // 6 % len(worlds.OWNERS)]
             world.crash(name)
             world.start_owner(name)
-    for _ in range(round(SETTLE_S / STEP_S)):
+    for _ in range(round(MAX_RECOVERY_S / STEP_S)):
         world.advance(STEP_S)
-        _crash_servers_of_bad(world, crashes)
+        _crash_servers_of_crashing_task(world, crashes)
     return world, crashes
 
 
 @pytest.mark.parametrize("replace_owners", [False, True], ids=["calm", "owners replaced"])
-def test_a_task_that_crashes_its_servers_is_given_up_and_nothing_else(
+def test_crash_causing_task_is_given_up_and_no_other(
     monkeypatch: pytest.MonkeyPatch, replace_owners: bool
 ) -> None:
-    """Found by looking for the cause of the incident on the users' platform elsewhere.
+    """Guard against a crash-causing task that is restarted without limit.
 
-    Seen: 40 starts after the third crash in 96 simulated seconds, one each 2 s.
-    Cause: a run that was lost with its server put its task back to wait, with no count and no
-    pause; only failed runs counted.
+    A run that was lost with its server put its task back to wait without a count and without a
+    pause; only failed runs counted. The task had 40 starts after the third crash in 96 simulated
+    seconds, one every 2 s. The fault was found by searching here for the cause of an incident on
+    the users' platform.
     """
-    world, crashes = _play(monkeypatch, replace_owners)
+    world, crashes = _run_with_crashing_task(monkeypatch, replace_owners)
     assert world.breaches() == []
     assert len(crashes) >= 3
     after = [at for at in _starts(world) if at > crashes[2]]
-    assert len(after) <= MOST_STARTS, f"{len(after)} starts after the third crash"
+    assert len(after) <= MAX_STARTS, f"{len(after)} starts after the third crash"
     tasks = next(iter(world.owners.values())).core.ledger.tasks
-    assert tasks[BAD].state is TaskState.FAILED, tasks[BAD].reason
-    sound = [task.state for task in tasks.values() if task.id != BAD]
-    assert sound == [TaskState.FINISHED] * SOUND
+    assert tasks[CRASHING_TASK].state is TaskState.FAILED, tasks[CRASHING_TASK].reason
+    sound = [task.state for task in tasks.values() if task.id != CRASHING_TASK]
+    assert sound == [TaskState.FINISHED] * SOUND_JOBS
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_sound_work_outlives_a_spell_of_plain_crashes(
+def test_sound_tasks_finish_despite_unrelated_crashes(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     monkeypatch.setattr(worlds, "SERVERS", SERVERS)
     chance = random.Random(seed)
     world = World()
-    for _ in range(SOUND):
+    for _ in range(SOUND_JOBS):
         world.submit(1, 4.0, True)
         world.advance(2.5)
         if chance.random() < 0.5:
             world.start_worker(chance.choice(SERVERS))
-    world.advance(SETTLE_S)
+    world.advance(MAX_RECOVERY_S)
     assert world.breaches() == []
     tasks = next(iter(world.owners.values())).core.ledger.tasks
-    assert [task.state for task in tasks.values()] == [TaskState.FINISHED] * SOUND
+    assert [task.state for task in tasks.values()] == [TaskState.FINISHED] * SOUND_JOBS
 
 
-def test_a_server_that_only_fell_silent_proves_nothing() -> None:
-    """What was given up as its server did not answer counts against nobody."""
+def test_silent_server_is_no_crash_evidence() -> None:
+    """A run given up because its server did not answer is no crash evidence against its task."""
     ledger, crash = _ledger_after_a_loss(None)
-    assert ledger.tasks[BAD].crashes == crash == []
+    assert ledger.tasks[CRASHING_TASK].crashes == crash == []
     ledger, crash = _ledger_after_a_loss(Crash(server=InstanceId("backend-1"), lived_s=1.0))
-    assert ledger.tasks[BAD].crashes == crash != []
-    assert ledger.tasks[BAD].not_before >= 0.0
+    assert ledger.tasks[CRASHING_TASK].crashes == crash != []
+    assert ledger.tasks[CRASHING_TASK].not_before >= 0.0
 
 
 def _ledger_after_a_loss(crash: Crash | None) -> tuple[Ledger, list[Crash]]:
@@ -110,10 +122,10 @@
     world.submit(1, 30.0, True)
     world.advance(3.0)
     ledger = next(iter(world.owners.values())).core.ledger
-    task = ledger.tasks[BAD]
+    task = ledger.tasks[CRASHING_TASK]
     assert task.server is not None
     lost = Ended(
-        task=BAD,
+        task=CRASHING_TASK,
         attempt=task.attempt,
         server=task.server,
         epoch=task.epoch,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,8 @@
-"""Placement decisions."""
+"""Placement decisions: which server a task is placed on, or which obstacle prevents it.
+
+The tests guard against batch work that slows sheltered services, work that waits forever, and
+refusals that do not say what is missing.
+"""
 
 from spoolcrank import placement
 from spoolcrank.fleet import Instance, Role
@@ -9,11 +13,11 @@
 from spoolcrank.policy import DEFAULT, Policy
 from spoolcrank.resources import Resources
 
-WHOLE = Resources(16, 32_000, 0)
+BATCH_CAPACITY = Resources(16, 32_000, 0)
 
 
-def room(name: str, free: float = 16, **fields: object) -> Room:
-    base = Room(InstanceId(name), Rack("r"), "standard", Resources(free, 32_000, 0), WHOLE)
+def capacity(name: str, free: float = 16, **fields: object) -> Room:
+    base = Room(InstanceId(name), Rack("r"), "standard", Resources(free, 32_000, 0), BATCH_CAPACITY)
     return base._replace(**fields)
 
 
@@ -21,56 +25,67 @@
     return JobSpec.model_validate({"name": "job", **fields})
 
 
-def choose(one: JobSpec, rooms: list[Room], known: float | None = 0.0) -> placement.Choice:
-    size = one.size.resources
-    return placement.choose(size, one, [], rooms, {}, lambda server, name: known, True, DEFAULT)
+def choose(
+    job_spec: JobSpec, servers: list[Room], noisiness: float | None = 0.0
+) -> placement.Choice:
+    size = job_spec.size.resources
+    return placement.choose(
+        size, job_spec, [], servers, {}, lambda server, name: noisiness, True, DEFAULT
+    )
 
 
-def test_batch_fills_the_tightest_gap() -> None:
-    found = choose(spec(size=Size(processors=2.0)), [room("wide"), room("tight", 4)])
-    assert found.server == "tight"
+def test_batch_task_goes_to_the_server_with_the_least_free_capacity() -> None:
+    choice = choose(spec(size=Size(processors=2.0)), [capacity("wide"), capacity("tight", 4)])
+    assert choice.server == "tight"
 
 
-def test_urgent_work_may_take_the_reserve() -> None:
+def test_urgent_work_may_use_the_reserved_capacity() -> None:
     size = Size(processors=15.8)
-    assert choose(spec(size=size), [room("a")]).obstacle is Obstacle.NO_ROOM
-    assert choose(spec(size=size, urgency=9), [room("a")]).server == "a"
+    assert choose(spec(size=size), [capacity("a")]).obstacle is Obstacle.NO_ROOM
+    assert choose(spec(size=size, urgency=9), [capacity("a")]).server == "a"
 
 
-def test_only_known_quiet_work_joins_a_sheltered_runner() -> None:
-    sheltered = [room("a", sheltered=True)]
+def test_only_work_known_as_quiet_is_placed_on_a_sheltered_server() -> None:
+    sheltered = [capacity("a", sheltered=True)]
     assert choose(spec(), sheltered, None).obstacle is Obstacle.INTERFERENCE
     assert choose(spec(), sheltered, 0.8).obstacle is Obstacle.INTERFERENCE
     assert choose(spec(), sheltered, 0.0).server == "a"
 
 
-def test_loud_work_is_not_kept_waiting_for_ever() -> None:
-    one = spec()
-    rooms = [room("a", sheltered=True)]
-    found = placement.choose(
-        one.size.resources, one, [], rooms, {}, lambda s, n: 0.8, False, DEFAULT
+def test_noisy_work_does_not_wait_forever() -> None:
+    job_spec = spec()
+    servers = [capacity("a", sheltered=True)]
+    choice = placement.choose(
+        job_spec.size.resources, job_spec, [], servers, {}, lambda s, n: 0.8, False, DEFAULT
     )
-    assert found.server == "a"
+    assert choice.server == "a"
     assert placement.sheltered_count(1, DEFAULT) == 0
 
 
-def test_suspected_server_is_probed_with_repeatable_work_only() -> None:
-    rooms = [room("good"), room("bad", suspect=True, probe=True)]
-    assert choose(spec(), rooms).server == "bad"
-    assert choose(spec(repeatable=False), rooms).server == "good"
-    assert choose(spec(), [room("good"), room("bad", suspect=True)]).server == "good"
+def test_suspect_server_is_probed_with_repeatable_work_only() -> None:
+    servers = [capacity("good"), capacity("bad", suspect=True, probe=True)]
+    assert choose(spec(), servers).server == "bad"
+    assert choose(spec(repeatable=False), servers).server == "good"
+    assert choose(spec(), [capacity("good"), capacity("bad", suspect=True)]).server == "good"
 
 
 def test_services_spread_over_racks() -> None:
-    rooms = [room("a", rack=Rack("r1")), room("b", rack=Rack("r2"))]
-    one = spec(**{"class": JobClass.SERVICE})
-    found = placement.choose(
-        one.size.resources, one, [], rooms, {Rack("r1"): 1}, lambda server, name: 0.0, True, DEFAULT
+    servers = [capacity("a", rack=Rack("r1")), capacity("b", rack=Rack("r2"))]
+    job_spec = spec(**{"class": JobClass.SERVICE})
+    choice = placement.choose(
+        job_spec.size.resources,
+        job_spec,
+        [],
+        servers,
+        {Rack("r1"): 1},
+        lambda server, name: 0.0,
+        True,
+        DEFAULT,
     )
-    assert found.server == "b"
+    assert choice.server == "b"
 
 
-def test_waiting_long_goes_before_higher_urgency() -> None:
+def test_long_waiting_task_goes_before_a_more_urgent_one() -> None:
     old = Task(id=TaskId("old.0"), job="old", since=0.0)  # type: ignore[arg-type]
     new = Task(id=TaskId("new.0"), job="new", since=1000.0)  # type: ignore[arg-type]
     wall = 1000.0
@@ -78,14 +93,14 @@
     assert first < placement.priority(new, spec(urgency=5), DEFAULT, wall)
 
 
-def test_quota_holds_back_a_team() -> None:
+def test_quota_limits_a_team() -> None:
     policy = Policy(quotas={"accounts": 4.0})
     size = Resources(2, 0, 0)
     assert placement.within_quota("accounts", size, 2.0, policy)  # type: ignore[arg-type]
     assert not placement.within_quota("accounts", size, 3.0, policy)  # type: ignore[arg-type]
 
 
-def test_refusal_names_the_nearest_miss() -> None:
+def test_refusal_names_the_nearest_server() -> None:
     instances = [
         Instance(
             id=InstanceId(f"backend-{cores}"),
--- a/tests/test_preassignment.py
+++ b/tests/test_preassignment.py
@@ -1,4 +1,8 @@
-"""Starts go on while the store is away, by what its records preassign; nothing starts twice."""
+"""Starts by stored preassignments while the store does not answer.
+
+The tests guard against runners that stay idle during an outage of the store, against tasks that
+start twice, and against starts that extend a lease a successor does not know of.
+"""
 
 import pytest
 
@@ -23,25 +27,25 @@
 NEXT = Step(count=4, millicores=1000, memory_mb=100, estimate_ms=600, after=(0,))
 
 
-def started(world: World, step: int) -> int:
+def started_tasks(world: World, step: int) -> int:
     return sum(bool(times) for key, times in world.starts.items() if key.step == step)
 
 
-def at_work(work_s: float) -> World:
-    """Return a world whose runners hold leases, with one job at work on its first step."""
+def world_with_running_job(work_s: float) -> World:
+    """Return a world whose runners have leases, with one job running its first step."""
     world = small()
-    for one in world.runners.values():
-        one.work_s = work_s
+    for runner in world.runners.values():
+        runner.work_s = work_s
     world.instances["entry-0"].submit("f1", FIRST, NEXT)
     world.run(1.0)
     return world
 
 
-def test_the_next_step_starts_while_the_store_is_away() -> None:
-    world = at_work(2.0)
+def test_next_step_starts_while_the_store_does_not_answer() -> None:
+    world = world_with_running_job(2.0)
     world.store.silent = True
     world.run(4.0)
-    assert started(world, 1) == 4
+    assert started_tasks(world, 1) == 4
     world.store.silent = False
     settle(world, "f1")
     assert phase(world, "f1") is JobPhase.COMPLETED
@@ -49,29 +53,29 @@
     assert world.broken == []
 
 
-def test_a_start_as_preassigned_is_inherited_and_not_made_again() -> None:
-    world = at_work(1.4)
+def test_preassigned_start_is_inherited_and_not_repeated() -> None:
+    world = world_with_running_job(1.4)
     world.store.silent = True
     world.run(2.0)
-    assert started(world, 1) == 4
+    assert started_tasks(world, 1) == 4
     leader = world.leader()
     assert leader is not None
-    for one in world.runners.values():
-        one.work_s = 9.0
+    for runner in world.runners.values():
+        runner.work_s = 9.0
     leader.kill()
     world.store.silent = False
     settle(world, "f1", limit_s=40.0)
     assert world.broken == []
 
 
-def test_no_preassignment_is_used_before_it_is_kept() -> None:
-    state, key = preassigned_but_not_kept()
+def test_preassignment_is_not_used_before_it_is_stored() -> None:
+    state, key = pending_preassignment()
     runner = next(iter(state.runners.values()))
     bind(state, state.jobs[key.job], key, 1, runner, 1.0)
     assert state.orders == []
 
 
-def preassigned_but_not_kept() -> tuple[Scheduler, TaskKey]:
+def pending_preassignment() -> tuple[Scheduler, TaskKey]:
     world = small()
     world.instances["entry-0"].submit("f1", FIRST)
     world.run_until(lambda: world.leader() is not None and bool(_jobs(world)))
@@ -80,12 +84,12 @@
     state = leader.dispatcher.scheduler
     assert state is not None
     job = next(iter(state.jobs.values()))
-    fresh = JobState(job.id, job.record, job.order)
-    fresh.open_round(0)
-    state.jobs[job.id] = fresh
+    new_job = JobState(job.id, job.record, job.order)
+    new_job.open_round(0)
+    state.jobs[job.id] = new_job
     state.orders.clear()
     key = TaskKey(job.id, 0, 0, 0)
-    preassign(state, fresh, key, next(iter(state.runners)))
+    preassign(state, new_job, key, next(iter(state.runners)))
     return state, key
 
 
@@ -95,8 +99,8 @@
     return list(state.jobs.values()) if state is not None else []
 
 
-def test_a_preassignment_that_was_changed_meanwhile_is_not_taken_as_kept() -> None:
-    state, key = preassigned_but_not_kept()
+def test_preassignment_changed_while_pending_does_not_count_as_stored() -> None:
+    state, key = pending_preassignment()
     batch = take_batch(state)
     assert batch is not None
     other = list(state.runners)[1]
@@ -106,15 +110,15 @@
 
 
 @pytest.mark.parametrize("jobs", [40])
-def test_no_runner_is_preassigned_more_than_an_outage_could_use(jobs: int) -> None:
+def test_preassigned_tasks_per_runner_are_limited(jobs: int) -> None:
     world = small()
     for number in range(jobs):
         world.instances["entry-0"].submit(f"{number:04x}", FIRST)
     world.run(1.5)
     preassigned: dict[RunnerId, int] = {}
     for job in _jobs(world):
-        for held in job.rounds.values():
-            for step in held.steps:
+        for round_state in job.rounds.values():
+            for step in round_state.steps:
                 for index in step.waiting:
                     runner = step.tasks[index].preassigned
                     if runner:
@@ -123,9 +127,9 @@
     assert max(preassigned.values()) <= MAX_PREASSIGNED
 
 
-def test_a_start_without_the_store_extends_no_lease() -> None:
-    """A successor that cannot reach the runner counts on the leases granted before."""
-    state, key = preassigned_but_not_kept()
+def test_start_without_the_store_extends_no_lease() -> None:
+    """A successor that cannot reach the runner relies on the leases granted before the outage."""
+    state, key = pending_preassignment()
     state.jobs[key.job].task(key).preassigned_kept = True
     runner = next(iter(state.runners.values()))
     granted_ms = runner.granted_ms
@@ -138,12 +142,12 @@
     assert runner.granted_ms == granted_ms
 
 
-def test_work_without_preassignment_goes_on_once_the_store_is_back() -> None:
+def test_tasks_without_preassignment_start_once_the_store_answers_again() -> None:
     world = small()
-    for one in world.runners.values():
-        one.work_s = 3.0
-    many = Step(count=80, millicores=1000, memory_mb=100, estimate_ms=3000)
-    world.instances["entry-0"].submit("f1", many)
+    for runner in world.runners.values():
+        runner.work_s = 3.0
+    large_step = Step(count=80, millicores=1000, memory_mb=100, estimate_ms=3000)
+    world.instances["entry-0"].submit("f1", large_step)
     world.run(1.0)
     world.store.silent = True
     world.run(9.5)
@@ -155,15 +159,15 @@
     assert world.broken == []
 
 
-def test_a_cancelled_job_leaves_no_preassignment_in_its_record() -> None:
-    state, key = preassigned_but_not_kept()
+def test_cancelled_job_stores_no_preassignment() -> None:
+    state, key = pending_preassignment()
     state.cancel(key.job, 1.0)
     batch = take_batch(state)
     assert batch is not None
     assert state.jobs[key.job].progress().steps == ()
 
 
-def test_a_large_fleet_preassigns_nothing() -> None:
+def test_nothing_is_preassigned_in_a_large_fleet() -> None:
     world = small(runners=MAX_RUNNERS + 1)
     for number in range(200):
         world.instances["entry-0"].submit(f"{number:04x}", Step(count=8, millicores=1000))
@@ -171,33 +175,33 @@
     waiting = [
         step.tasks[index]
         for job in _jobs(world)
-        for held in job.rounds.values()
-        for step in held.steps
+        for round_state in job.rounds.values()
+        for step in round_state.steps
         for index in step.waiting
     ]
     assert waiting
     assert not [task for task in waiting if task.preassigned]
 
 
-@pytest.mark.parametrize(("slow_s", "early"), [(0.1, False), (0.16, True)])
-def test_starts_go_without_a_record_only_once_one_is_late(
-    monkeypatch: pytest.MonkeyPatch, slow_s: float, early: bool
+@pytest.mark.parametrize(("slow_s", "starts_early"), [(0.1, False), (0.16, True)])
+def test_tasks_start_without_a_stored_record_only_once_a_record_is_late(
+    monkeypatch: pytest.MonkeyPatch, slow_s: float, starts_early: bool
 ) -> None:
-    """Such a start extends no lease, so a store that is merely slow is waited for."""
-    began: list[float] = []
-    monkeypatch.setattr(Preassignments, "start", lambda _, state, now: began.append(now))
+    """Such a start extends no lease, so the leader waits for a store that is only slow."""
+    start_times: list[float] = []
+    monkeypatch.setattr(Preassignments, "start", lambda _, state, now: start_times.append(now))
     world = small()
     world.store.slow_s = slow_s
     for number in range(30):
         world.instances["entry-0"].submit(f"{number:04x}", FIRST, NEXT)
     world.run(8.0)
     assert sum(map(bool, world.starts.values())) > 30
-    assert bool(began) is early
+    assert bool(start_times) is starts_early
 
 
-def kept_preassignment() -> tuple[Scheduler, TaskKey, RunnerState, float]:
-    """Return a task that may start without the store, where, and a time when it may."""
-    state, key = preassigned_but_not_kept()
+def stored_preassignment() -> tuple[Scheduler, TaskKey, RunnerState, float]:
+    """Return a scheduler, a task that may start without the store, its runner and a time for it."""
+    state, key = pending_preassignment()
     task = state.jobs[key.job].task(key)
     task.preassigned_kept = True
     state.ready[key.job] = None
@@ -206,18 +210,18 @@
 
 
 @pytest.mark.parametrize(("left_ms", "starts"), [(2400.0, False), (2600.0, True)])
-def test_a_start_without_the_store_wants_enough_of_the_lease(left_ms: float, starts: bool) -> None:
-    """It extends no lease; one with less left would mostly be killed at work."""
-    state, key, runner, now = kept_preassignment()
+def test_start_without_the_store_requires_enough_lease_time(left_ms: float, starts: bool) -> None:
+    """The start extends no lease; most tasks with less time left would be killed while running."""
+    state, key, runner, now = stored_preassignment()
     runner.granted_ms = runner.clock_lower(now) + left_ms
     start_preassigned(state, now)
     assert [order.task for order in state.orders if isinstance(order, Start)] == [key] * starts
 
 
 @pytest.mark.parametrize(("service", "starts"), [("pricing", True), ("other", False)])
-def test_a_start_without_the_store_goes_to_the_service_of_now(service: str, starts: bool) -> None:
-    """A queue may be given to another service after its tasks were preassigned."""
-    state, key, runner, now = kept_preassignment()
+def test_start_without_the_store_requires_the_current_service(service: str, starts: bool) -> None:
+    """A queue may be routed to another service after its tasks were preassigned."""
+    state, key, runner, now = stored_preassignment()
     assert runner.entry.service == SERVICE
     state.routes = {ROUTE: RoutePolicy(ServiceName(service), 0, 3)}
     start_preassigned(state, now)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,11 @@
-"""Routing decisions: slots are exact, refusals true, retries bounded."""
+"""Routing decisions: slot counts, refusals and retries.
+
+The tests guard against runners with more requests than slots, requests that run twice or are
+reported as not run after a runner received them, and retries without a limit.
+
+The seed of a derandomized Hypothesis test depends on its name and source, so a change to either
+changes the examples that it tries.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -37,7 +44,7 @@
 
 
 def refusal_of(actions: list[routing.RouteAction]) -> ErrorKind | None:
-    return next((one.refusal.kind for one in actions if isinstance(one, Refuse)), None)
+    return next((action.refusal.kind for action in actions if isinstance(action, Refuse)), None)
 
 
 def test_never_sends_more_than_the_slots_of_a_runner() -> None:
@@ -45,7 +52,7 @@
     actions = []
     for number in range(6):
         actions += routing.submit(router, make_request(f"r{number}"), DEFAULT, 0.0)
-    assert sum(isinstance(one, ToRunner) for one in actions) == 2
+    assert sum(isinstance(action, ToRunner) for action in actions) == 2
     assert router.runners[InstanceId("backend-0")].busy == 2
 
 
@@ -77,23 +84,23 @@
             runner.failures = 0
         sent = routing.submit(router, make_request(name), DEFAULT, 0.0)[0]
         assert isinstance(sent, ToRunner)
-        found = routing.on_result(router, RequestId(name), sent.attempt, Result.CUT, DEFAULT, 0.0)
-        retried += any(isinstance(one, ToRunner) for one in found)
+        actions = routing.on_result(router, RequestId(name), sent.attempt, Result.CUT, DEFAULT, 0.0)
+        retried += any(isinstance(action, ToRunner) for action in actions)
     assert retried <= 50 * DEFAULT.routing.retry_share + 1
 
 
-def test_overload_is_refused_at_once_and_says_when_to_come_back() -> None:
+def test_overload_is_refused_at_once_with_a_time_to_retry() -> None:
     router = make_router(runners=1, slots=1)
     refused = []
     for number in range(40):
         refused += [
-            one
-            for one in routing.submit(router, make_request(f"r{number}"), DEFAULT, 0.0)
-            if isinstance(one, Refuse)
+            action
+            for action in routing.submit(router, make_request(f"r{number}"), DEFAULT, 0.0)
+            if isinstance(action, Refuse)
         ]
     assert refused
-    assert all(one.refusal.kind is ErrorKind.OVERLOADED for one in refused)
-    assert all(one.refusal.retry_after_s > 0 for one in refused)
+    assert all(action.refusal.kind is ErrorKind.OVERLOADED for action in refused)
+    assert all(action.refusal.retry_after_s > 0 for action in refused)
 
 
 def test_urgent_request_takes_the_place_of_a_waiting_ordinary_one() -> None:
@@ -102,10 +109,10 @@
         routing.submit(router, make_request(f"r{number}", urgency=1), DEFAULT, 0.0)
     actions = routing.submit(router, make_request("urgent", urgency=9), DEFAULT, 0.0)
     assert refusal_of(actions) is ErrorKind.OVERLOADED
-    assert all(one.request != "urgent" for one in actions if isinstance(one, Refuse))
+    assert all(action.request != "urgent" for action in actions if isinstance(action, Refuse))
 
 
-def test_entry_without_runners_lets_requests_wait_where_slots_come_free() -> None:
+def test_request_that_a_full_peer_refused_is_not_forwarded_again_at_once() -> None:
     router = make_router(runners=0)
     known_runners.on_peer_slots(router, PEER, ZONE, {SERVICE: [FreeSlots(0, 0.02)]}, 0.0)
     sent = routing.submit(router, make_request("r"), DEFAULT, 0.1)[0]
@@ -114,10 +121,10 @@
     actions = routing.on_result(
         router, RequestId("r"), sent.attempt, Result.REFUSED, DEFAULT, 0.2, full
     )
-    assert not any(isinstance(one, ToPeer) for one in actions)
+    assert not any(isinstance(action, ToPeer) for action in actions)
 
 
-def test_forwarded_request_goes_back_at_once_when_the_runners_are_handed_over() -> None:
+def test_forwarded_request_is_refused_at_once_when_the_runners_are_handed_over() -> None:
     router = make_router(runners=1, slots=1)
     known_runners.on_peer_slots(router, PEER, ZONE, {SERVICE: [FreeSlots(0, 0.02)]}, 0.0)
     for name in ("running", "waiting"):
@@ -128,7 +135,7 @@
     assert refusal_of(routing.submit(router, late, DEFAULT, 0.1)) is ErrorKind.NO_RUNNER
 
 
-def test_slowed_runner_of_ours_loses_to_a_calm_one_of_a_peer() -> None:
+def test_fast_runner_of_a_peer_is_preferred_to_a_slow_own_runner() -> None:
     router = make_router(runners=1, slots=8)
     router.runners[InstanceId("backend-0")].latency_s = 0.2
     known_runners.on_peer_slots(router, PEER, ZONE, {SERVICE: [FreeSlots(4, 0.02)]}, 0.0)
@@ -136,20 +143,20 @@
     assert isinstance(sent, ToPeer)
 
 
-def test_runner_that_fails_is_left_alone_then_probed_with_a_repeatable_request() -> None:
+def test_failing_runner_gets_no_request_until_a_repeatable_one_probes_it() -> None:
     router = make_router(runners=1)
     for number in range(DEFAULT.routing.suspect_failures):
         sent = routing.submit(router, make_request(f"r{number}"), DEFAULT, 0.0)[0]
         assert isinstance(sent, ToRunner)
         routing.on_result(router, sent.request, sent.attempt, Result.CUT, DEFAULT, 0.0)
     assert not any(
-        isinstance(one, ToRunner)
-        for one in routing.submit(router, make_request("out"), DEFAULT, 0.1)
+        isinstance(action, ToRunner)
+        for action in routing.submit(router, make_request("out"), DEFAULT, 0.1)
     )
     later = DEFAULT.routing.probe_s + 0.5
     router.queue.clear()
     once = routing.submit(router, make_request("once", later, repeatable=False), DEFAULT, later)
-    assert not any(isinstance(one, ToRunner) for one in once)
+    assert not any(isinstance(action, ToRunner) for action in once)
     router.queue.clear()
     probe = routing.submit(router, make_request("probe", later), DEFAULT, later)
     assert isinstance(probe[0], ToRunner)
--- a/tests/test_slot_use.py
+++ b/tests/test_slot_use.py
@@ -1,4 +1,8 @@
-"""What is set aside for a runner follows the requests that are at it."""
+"""Slots reserved for a service follow the number of its requests in progress.
+
+The tests guard against slots that stay reserved for an idle service, and against a busy service
+whose slots are given to other work.
+"""
 
 import pytest
 
@@ -7,24 +11,24 @@
 SLOTS = 8
 
 
-def test_a_runner_that_was_not_watched_yet_keeps_all_its_slots() -> None:
+def test_new_runner_reserves_all_its_slots() -> None:
     assert kept_slots(all_busy(SLOTS, 5.0), SLOTS) == SLOTS
 
 
-def test_an_idle_runner_keeps_the_spare_alone_after_some_half_lives() -> None:
+def test_idle_runner_reserves_only_the_spare_slots_after_some_half_lives() -> None:
     use = all_busy(SLOTS, 0.0)
-    for tenth in range(1, round(HALF_LIFE_S * 50)):
-        use = seen(use, 0, tenth / 10)
+    for tick in range(1, round(HALF_LIFE_S * 50)):
+        use = seen(use, 0, tick / 10)
     assert kept_slots(use, SLOTS) == SPARE_SLOTS
 
 
 @pytest.mark.parametrize("busy", [1, 3, 7, 8])
-def test_a_peak_counts_at_once_and_fades_by_half(busy: int) -> None:
+def test_peak_counts_at_once_and_halves_in_a_half_life(busy: int) -> None:
     use = seen(SlotUse(0.0, 0.0), busy, 1.0)
     assert kept_slots(use, SLOTS) == min(SLOTS, busy + SPARE_SLOTS)
     later = seen(use, 0, 1.0 + HALF_LIFE_S)
     assert later.peak == pytest.approx(busy / 2)
 
 
-def test_a_clock_that_stands_still_fades_nothing() -> None:
+def test_peak_does_not_fade_while_the_clock_does_not_advance() -> None:
     assert seen(SlotUse(4.0, 10.0), 2, 9.0).peak == 4.0
--- a/tests/test_step_times.py
+++ b/tests/test_step_times.py
@@ -1,4 +1,8 @@
-"""How long tasks really take, learnt from those that ended."""
+"""Expected durations of tasks, learned from tasks that ended.
+
+The tests guard against expected durations that trust inaccurate estimates, ignore accurate ones, or
+are lost with the leader.
+"""
 
 import math
 import random
@@ -10,8 +14,13 @@
 QUEUE = RouteName("q")
 
 
-def taught(error: float, count: int = 300) -> StepTimes:
-    """Return times learnt of tasks around 2 s whose estimates are off by such a deviation."""
+def trained_times(error: float, count: int = 300) -> StepTimes:
+    """Return times learned from tasks of about 2 s.
+
+    Args:
+        error: standard deviation of the logarithm of the estimate's error.
+        count: number of tasks.
+    """
     chance = random.Random(3)
     times = StepTimes()
     for _ in range(count):
@@ -20,32 +29,32 @@
     return times
 
 
-def test_nothing_learnt_leaves_the_estimate() -> None:
+def test_without_samples_the_estimate_is_used() -> None:
     assert StepTimes().expected_ms(QUEUE, 700.0) == 700.0
 
 
-def test_worthless_estimates_count_little() -> None:
-    times = taught(error=1.5)
+def test_inaccurate_estimates_get_little_weight() -> None:
+    times = trained_times(error=1.5)
     assert times.expected_ms(QUEUE, 8000.0) < 3500.0
     assert times.expected_ms(QUEUE, 500.0) > 1200.0
 
 
-def test_right_estimates_are_believed() -> None:
-    times = taught(error=0.05)
+def test_accurate_estimates_get_much_weight() -> None:
+    times = trained_times(error=0.05)
     assert 7000.0 < times.expected_ms(QUEUE, 8000.0) < 9000.0
     assert 430.0 < times.expected_ms(QUEUE, 500.0) < 580.0
 
 
-def test_what_is_learnt_outlives_its_leader() -> None:
-    times = taught(error=0.8)
+def test_learned_times_survive_a_change_of_leader() -> None:
+    times = trained_times(error=0.8)
     stored = decode_learnt(encode_learnt(Learnt((), times.learnt())))
     successor = StepTimes()
     successor.restore(stored.times)
     assert successor.expected_ms(QUEUE, 900.0) == times.expected_ms(QUEUE, 900.0)
 
 
-def test_older_tasks_are_forgotten() -> None:
-    times = taught(error=0.2)
+def test_older_samples_are_forgotten() -> None:
+    times = trained_times(error=0.2)
     for _ in range(2000):
         times.learn(QUEUE, 2000.0, 6000.0)
     assert 5000.0 < times.expected_ms(QUEUE, 2000.0) < 7000.0
--- a/tests/test_stored_progress.py
+++ b/tests/test_stored_progress.py
@@ -1,4 +1,8 @@
-"""The check on stored progress reports progress that goes back, and nothing else."""
+"""The check of stored progress.
+
+The tests guard against a check that misses work no longer stored as done, and against one that
+reports valid progress.
+"""
 
 import pytest
 
@@ -29,7 +33,7 @@
 @pytest.mark.parametrize(
     "later", [ONE_DONE, record(step(DONE, DONE)), STEP_DONE, record(rounds_done=1)]
 )
-def test_progress_that_goes_on_is_no_fault(later: KeyedRecord) -> None:
+def test_advancing_progress_is_not_reported(later: KeyedRecord) -> None:
     done = DoneTasks()
     assert done.take(ONE_DONE) == []
     assert done.take(later) == []
@@ -44,9 +48,7 @@
         (record(rounds_done=1), STEP_DONE),
     ],
 )
-def test_what_was_done_and_is_not_any_more_is_found(
-    earlier: KeyedRecord, later: KeyedRecord
-) -> None:
+def test_work_that_is_no_longer_done_is_reported(earlier: KeyedRecord, later: KeyedRecord) -> None:
     done = DoneTasks()
     done.take(earlier)
     assert done.take(later) != []
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A log, workers and owners around the pure decisions, stepped by hand with faults."""
+"""A simulated log, workers and owners around the decision code, stepped by tests with faults."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -21,7 +21,11 @@
 from spoolcrank.worker import Refused
 
 STEP_S = 0.25
-LATE_S = 1.5
+"""Simulated time of one step, seconds."""
+
+LINK_DELAY_S = 1.5
+"""Time after which a command on a late link reaches its worker, seconds."""
+
 ZONE = AvailabilityZone("a")
 OWNERS = ("entry-1", "entry-2", "entry-3")
 SERVERS = ("backend-1", "backend-2")
@@ -30,17 +34,28 @@
 
 @dataclass
 class Owner:
+    """An entry instance: its decision core and what the simulation keeps for it."""
+
     core: Core
     seq: int = 0
-    beats: int = 0
-    read: int = 0
+    heartbeats: int = 0
+    next_offset: int = 0
     outbox: list[Envelope] = field(default_factory=list)
     paused: bool = False
     skew_s: float = 0.0
 
 
 class World:
-    """Everything around the cores; time moves by `advance` alone."""
+    """The environment of the cores; only `advance` moves the time.
+
+    Attributes:
+        cut: links, as pairs of sender and receiver, on which nothing arrives.
+        mute: links on which commands arrive but their answers are lost.
+        late: links on which commands arrive after `LINK_DELAY_S` and their answers are lost.
+        holding: owners whose commands are held until `release`.
+        doubles: whether each record is appended to the log twice.
+        once_only: jobs whose tasks must not run twice.
+    """
 
     def __init__(self, policy: Policy = DEFAULT, fenced: bool = True) -> None:
         self.policy = policy
@@ -51,10 +66,10 @@
         self.cut: set[tuple[str, str]] = set()
         self.mute: set[tuple[str, str]] = set()
         self.late: set[tuple[str, str]] = set()
-        self.due: list[tuple[float, Send]] = []
+        self.delayed_sends: list[tuple[float, Send]] = []
         self.holding: set[str] = set()
-        self.held: list[tuple[str, Send]] = []
-        self.births = 0
+        self.held_sends: list[tuple[str, Send]] = []
+        self.incarnations = 0
         self.jobs = 0
         self.once_only: list[str] = []
         self.fenced = fenced
@@ -68,20 +83,20 @@
         self.advance(4.0)
 
     def _incarnation(self, name: str) -> Incarnation:
-        self.births += 1
-        return Incarnation(f"{name}-{self.births}")
+        self.incarnations += 1
+        return Incarnation(f"{name}-{self.incarnations}")
 
     def start_worker(self, name: str) -> None:
-        """Start a worker anew: what it ran ends with it."""
+        """Start or restart a worker; a restart ends the runs of the old process."""
         old = self.workers.get(name)
         if old is not None:
-            self._bury(name, old)
+            self._archive_journal(name, old)
         worker = WorkerModel(self._incarnation(name), CAPACITY, report_lag_s=5.0)
         if not self.fenced:
             worker._fence = lambda cmd, now: None  # type: ignore[method-assign]
         self.workers[name] = worker
 
-    def _bury(self, name: str, worker: WorkerModel) -> None:
+    def _archive_journal(self, name: str, worker: WorkerModel) -> None:
         runs = [
             run._replace(end=self.now) if run.end is None else run
             for run in worker.journal(self.now)
@@ -92,8 +107,8 @@
         members = Members(InstanceId(name), self._incarnation(name), ZONE, self.now)
         core = new_core(members)
         core.policy = self.policy
-        membership.on_list(members, _listed(), self.now)
-        self.owners[name] = Owner(core, skew_s=float(self.births))
+        membership.on_list(members, _instances(), self.now)
+        self.owners[name] = Owner(core, skew_s=float(self.incarnations))
 
     def crash(self, name: str) -> None:
         self.owners.pop(name, None)
@@ -133,25 +148,25 @@
         self.now += STEP_S
         for worker in self.workers.values():
             worker.advance(self.now)
-        for due in [due for due in self.due if due[0] <= self.now]:
-            self.due.remove(due)
-            self._deliver(due[1])
+        for delayed in [delayed for delayed in self.delayed_sends if delayed[0] <= self.now]:
+            self.delayed_sends.remove(delayed)
+            self._deliver(delayed[1])
         for name, owner in list(self.owners.items()):
             if not owner.paused:
-                self._beat(name, owner)
+                self._send_heartbeat(name, owner)
         for name, owner in list(self.owners.items()):
             if not owner.paused:
-                self._run(name, owner)
+                self._run_owner(name, owner)
 
-    def _beat(self, name: str, owner: Owner) -> None:
+    def _send_heartbeat(self, name: str, owner: Owner) -> None:
         core = owner.core
-        owner.beats += 1
+        owner.heartbeats += 1
         now = self.now + owner.skew_s
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             sender=core.members.me,
             incarnation=core.members.incarnation,
             zone=ZONE,
-            seq=owner.beats,
+            seq=owner.heartbeats,
             sent_at=now,
             leaving=core.stopping,
             ready=True,
@@ -163,39 +178,39 @@
         )
         for other, peer in self.owners.items():
             if other != name and not peer.paused and (name, other) not in self.cut:
-                decisions.on_heartbeat(peer.core, beat, self.now + peer.skew_s)
+                decisions.on_heartbeat(peer.core, heartbeat, self.now + peer.skew_s)
 
-    def _run(self, name: str, owner: Owner) -> None:
+    def _run_owner(self, name: str, owner: Owner) -> None:
         now = self.now + owner.skew_s
         core = owner.core
         actions = []
         if self.log_up and (name, "log") not in self.cut:
             self._append(owner)
-            for offset in range(owner.read, len(self.log)):
+            for offset in range(owner.next_offset, len(self.log)):
                 actions += decisions.on_entry(core, Entry(Offset(offset), self.log[offset]), now)
-            owner.read = len(self.log)
+            owner.next_offset = len(self.log)
             decisions.on_log_read(core, now)
         else:
             decisions.on_log_failed(core, now)
-            self.take_state(name)
+            self.take_peer_ledger(name)
         actions += decisions.tick(core, now, self.now)
         self._act(name, owner, actions)
 
-    def take_state(self, name: str) -> None:
-        """Let an owner take the ledger of a peer that it hears and that is ahead."""
+    def take_peer_ledger(self, name: str) -> None:
+        """Replace an owner's ledger by that of a reachable peer that has read more of the log."""
         owner = self.owners[name]
-        heard = [
+        reachable = [
             peer.core.ledger
             for other, peer in self.owners.items()
             if other != name and not peer.paused and (other, name) not in self.cut
         ]
-        ahead = max(heard, key=lambda ledger: ledger.offset, default=owner.core.ledger)
+        ahead = max(reachable, key=lambda ledger: ledger.offset, default=owner.core.ledger)
         if ahead.offset <= owner.core.ledger.offset:
             return
         now = self.now + owner.skew_s
-        found = decisions.replace_ledger(owner.core, load(dump(ahead)), now)
-        owner.read = ahead.offset
-        self._act(name, owner, found)
+        actions = decisions.replace_ledger(owner.core, load(dump(ahead)), now)
+        owner.next_offset = ahead.offset
+        self._act(name, owner, actions)
 
     def _append(self, owner: Owner) -> None:
         self.log += owner.outbox
@@ -215,24 +230,24 @@
                 case Send():
                     self._send(name, owner, action)
                 case Handover():
-                    heir = self.owners.get(action.to)
-                    if heir is not None and (name, action.to) not in self.cut:
-                        now = self.now + heir.skew_s
-                        given = tenure.on_handover(
-                            heir.core, action.server, action.epoch, action.busy, now
+                    successor = self.owners.get(action.to)
+                    if successor is not None and (name, action.to) not in self.cut:
+                        now = self.now + successor.skew_s
+                        reactions = tenure.on_handover(
+                            successor.core, action.server, action.epoch, action.busy, now
                         )
-                        self._act(action.to, heir, given)
+                        self._act(action.to, successor, reactions)
                 case _:
                     pass
 
     def _send(self, name: str, owner: Owner, send: Send) -> None:
         now = self.now + owner.skew_s
         if name in self.holding:
-            self.held.append((name, send))
+            self.held_sends.append((name, send))
             decisions.on_silence(owner.core, send.server, now)
             return
         if (name, send.server) in self.late:
-            self.due.append((self.now + LATE_S, send))
+            self.delayed_sends.append((self.now + LINK_DELAY_S, send))
             decisions.on_silence(owner.core, send.server, now)
             return
         if (name, send.server) in self.cut:
@@ -250,13 +265,14 @@
         return self.workers[send.server].obey(send.command, self.now)
 
     def release(self) -> None:
-        """Deliver, late and twice, every command that was held up on its way."""
-        held, self.held = self.held, []
+        """Deliver every held command twice: commands may arrive late and be duplicated."""
+        held_sends, self.held_sends = self.held_sends, []
         self.holding.clear()
-        for _, send in [*held, *held]:
+        for _, send in [*held_sends, *held_sends]:
             self._deliver(send)
 
     def evict_one(self, name: str) -> None:
+        """Have an owner evict the first batch task of each of its servers."""
         owner = self.owners.get(name)
         if owner is None or owner.paused:
             return
@@ -267,6 +283,7 @@
                     self._act(name, owner, [evict(owned, task, attempt, self.policy, now)])
 
     def heal(self) -> None:
+        """Remove all faults and deliver the held commands."""
         self.cut.clear()
         self.mute.clear()
         self.late.clear()
@@ -277,6 +294,7 @@
             owner.paused = False
 
     def breaches(self) -> list[promises.Breach]:
+        """Return every invariant that the journals of all workers, also ended ones, violate."""
         journals = [
             _journal(name, worker.journal(self.now), worker)
             for name, worker in self.workers.items()
@@ -289,7 +307,7 @@
         return promises.check([*self.journals, *journals], [], self.once_only, given_up)
 
     def open_tasks(self) -> list[str]:
-        """Return the tasks that have not ended, by an owner that read everything."""
+        """Return the tasks that have not ended, by the ledger of one owner."""
         ledger = next(iter(self.owners.values())).core.ledger
         return [
             f"{task.id} {task.state.value} {task.reason}"
@@ -309,7 +327,7 @@
     }
 
 
-def _listed() -> list[Instance]:
+def _instances() -> list[Instance]:
     entries = [
         Instance(
             id=InstanceId(name), role=Role.ENTRY, availability_zone=ZONE, address=Address("x:1")
