--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -136,7 +136,7 @@
             report,
             10.0,
             owner_core.ledger,
-            owner_core.situation(10.0),
+            owner_core.log_status(10.0),
             owner_core.policy,
             10.0,
         )
--- a/bench/colocation.py
+++ b/bench/colocation.py
@@ -164,20 +164,24 @@
         thread.join()
     time.sleep(max(0.0, began + WINDOW_S - time.monotonic()))
     merged_report = load.LoadReport()
-    merged_report.seen = [request for report in reports[1:] for request in report.seen]
+    merged_report.request_results = [
+        request for report in reports[1:] for request in report.request_results
+    ]
     return merged_report
 
 
 def _measure(fleet: Fleet, report: load.LoadReport) -> Measured:
     journals = [fleet.journal(name) for name in fleet.backends]
     runs = [run for journal in journals for run in journal["runs"]]
-    percentiles = report.percentiles() if report.seen else {"p50": 0.0, "p99": 0.0, "p99.9": 0.0}
+    percentiles = (
+        report.percentiles() if report.request_results else {"p50": 0.0, "p99": 0.0, "p99.9": 0.0}
+    )
     overcommits = sum(len(journal["overcommits"]) for journal in journals)
     return Measured(
         p50_ms=percentiles["p50"],
         p99_ms=percentiles["p99"],
         p999_ms=percentiles["p99.9"],
-        answered_share=len(report.answered) / max(1, len(report.seen)),
+        answered_share=len(report.answered) / max(1, len(report.request_results)),
         work_s=sum(run["work_done_s"] for run in runs if run["how"] != "failed"),
         evictions=sum(run["how"] == "evicted" for run in runs),
         breaches=overcommits + len(report.broken),
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -40,7 +40,7 @@
         gate_failures: reasons why the day did not pass the bench's gate.
     """
 
-    worth: float
+    score: float
     class_scores: dict[str, float]
     violations: dict[str, int]
     gate_failures: list[str]
@@ -131,13 +131,13 @@
     ordered = sorted(pairs, key=lambda pair: (pair.day, pair.seed))
     lines = [f"{'day':<12} {'seed':>5} {'base':>7} {'variant':>8} {'change':>7}  rules, gate"]
     for pair in ordered:
-        change = pair.variant.worth - pair.base.worth
+        change = pair.variant.score - pair.base.score
         lines.append(
-            f"{pair.day:<12} {pair.seed:>5} {pair.base.worth:>7.3f} {pair.variant.worth:>8.3f} "
+            f"{pair.day:<12} {pair.seed:>5} {pair.base.score:>7.3f} {pair.variant.score:>8.3f} "
             f"{change:>+7.3f}  {_failures('base', pair.base)}{_failures('variant', pair.variant)}"
         )
     for day in dict.fromkeys(pair.day for pair in ordered):
-        day_changes = [pair.variant.worth - pair.base.worth for pair in ordered if pair.day == day]
+        day_changes = [pair.variant.score - pair.base.score for pair in ordered if pair.day == day]
         lines.append(f"{day}: {interval(day_changes)}")
     for name in ordered[0].base.class_scores:
         class_changes = [
@@ -145,9 +145,9 @@
         ]
         base = sum(pair.base.class_scores[name] for pair in ordered) / len(ordered)
         lines.append(f"{name}: {base:.3f} {interval(class_changes)}")
-    base_mean = sum(pair.base.worth for pair in ordered) / len(ordered)
-    variant_mean = sum(pair.variant.worth for pair in ordered) / len(ordered)
-    changes = [pair.variant.worth - pair.base.worth for pair in ordered]
+    base_mean = sum(pair.base.score for pair in ordered) / len(ordered)
+    variant_mean = sum(pair.variant.score for pair in ordered) / len(ordered)
+    changes = [pair.variant.score - pair.base.score for pair in ordered]
     lines.append(f"worth: {base_mean:.3f} to {variant_mean:.3f}, {interval(changes)}")
     return "\n".join(lines) + "\n"
 
@@ -169,7 +169,7 @@
     days = list(dict.fromkeys(pair.day for pair in pairs))
     figure, axes = pyplot.subplots(figsize=(8, 4))
     for pair in pairs:
-        axes.plot(days.index(pair.day), pair.variant.worth - pair.base.worth, "o", color="tab:blue")
+        axes.plot(days.index(pair.day), pair.variant.score - pair.base.score, "o", color="tab:blue")
     axes.axhline(0.0, color="black", linewidth=0.8)
     axes.set_xticks(range(len(days)), days)
     axes.set_ylabel("change of worth")
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -60,10 +60,12 @@
         elapsed = time.monotonic() - started_at
         fleet.log_fault("ok")
         append_count = int(call("GET", f"{fleet.log.url}/stats").json()["appends"]) - appends
-        seen = reports[0].seen
-        refused = sum(request.outcome != "ok" for request in seen)
+        request_results = reports[0].request_results
+        refused = sum(request.outcome != "ok" for request in request_results)
         return Takeover(
-            round(seconds, 2), round(refused / len(seen), 4), round(append_count / elapsed, 1)
+            round(seconds, 2),
+            round(refused / len(request_results), 4),
+            round(append_count / elapsed, 1),
         )
 
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -47,7 +47,7 @@
         goodput.append(round(len(report.answered) / DURATION_S, 2))
         urgent_p99.append(report.percentiles(urgent=True)["p99"])
         refusal_latencies = sorted(
-            request.latency_s for request in report.seen if request.outcome != "ok"
+            request.latency_s for request in report.request_results if request.outcome != "ok"
         )
         refused_p99.append(
             round(refusal_latencies[int(0.99 * len(refusal_latencies))] * 1000, 1)
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -53,7 +53,7 @@
         leaving=False,
     )
     runner = RunnerState(entry, adopted=True)
-    runner.heard(1000.0, NOW, NOW)
+    runner.record_answer(1000.0, NOW, NOW)
     for task_number in range(5):
         serving = task_number < 2
         demand = Demand(6400 if serving else 0, 13_000 if serving else 6400, 0)
@@ -68,7 +68,9 @@
 def _state(runners: int) -> Scheduler:
     state = Scheduler(1, NOW, NOW)
     state.runners = {runner.id: runner for runner in map(_runner, range(runners))}
-    state.contention.expect({f"image-{number}": 1.0 / IMAGES for number in range(IMAGES)})
+    state.contention.set_expected_fillers(
+        {f"image-{number}": 1.0 / IMAGES for number in range(IMAGES)}
+    )
     if hasattr(state, "starts"):
         state.starts.limit = float("inf")
     return state
--- a/spoolcrank/__main__.py
+++ b/spoolcrank/__main__.py
@@ -9,7 +9,7 @@
 from contextlib import contextmanager
 from types import ModuleType
 
-from spoolcrank.serve_words import metrics_port
+from spoolcrank.serve_args import metrics_port
 
 
 @contextmanager
--- a/spoolcrank/_http.py
+++ b/spoolcrank/_http.py
@@ -20,7 +20,7 @@
 _PARSER_KIND_RESPONSE = 1
 
 
-class Failed(Enum):
+class CallFailure(Enum):
     """Reason why a call got no valid answer."""
 
     NOT_SENT = "not-sent"
@@ -56,10 +56,10 @@
     headers: Mapping[str, str]
     body: bytes
     timeout_s: float
-    quiet_s: float | None = None
-    again_s: float | None = None
+    max_pause_s: float | None = None
+    resend_after_s: float | None = None
     peer: str = ""
-    to_others: bytes | None = None
+    body_for_unknown_peer: bytes | None = None
 
 
 @dataclass
@@ -82,7 +82,7 @@
             in an answer stores it there.
     """
 
-    failed: Failed | None
+    failed: CallFailure | None
     status: int = 0
     headers: Mapping[str, str] = {}
     body: bytes = b""
@@ -141,12 +141,12 @@
             self._pool.remove_idle(self)
             return
         self.answer_started = True
-        if self.call.quiet_s is not None and self._timer is not None:
+        if self.call.max_pause_s is not None and self._timer is not None:
             self._timer.cancel()
-            self._timer = self._pool.timers.after(self.call.quiet_s, self._on_timeout)
+            self._timer = self._pool.timers.after(self.call.max_pause_s, self._on_timeout)
         self._parser.execute(data, len(data))
         if self._parser.errno is not None:
-            self._finish(HttpResult(Failed.GARBLED), keep=False)
+            self._finish(HttpResult(CallFailure.GARBLED), keep=False)
         elif self._is_complete():
             self._deliver()
 
@@ -162,7 +162,7 @@
         body = parser.recv_body()
         expected = headers.get("content-length")
         if expected is not None and expected != str(len(body)):
-            self._finish(HttpResult(Failed.GARBLED), keep=False)
+            self._finish(HttpResult(CallFailure.GARBLED), keep=False)
             return
         result = HttpResult(None, parser.get_status_code(), headers, body, peer=self.peer)
         self._finish(result, keep=parser.should_keep_alive())
@@ -171,18 +171,18 @@
         self.conn = None
         self._pool.remove_idle(self)
         if self.call is not None:
-            failed = Failed.CUT if self._sent else Failed.NOT_SENT
+            failed = CallFailure.CUT if self._sent else CallFailure.NOT_SENT
             self._finish(HttpResult(failed, sent=self._sent), keep=False)
 
     def _on_timeout(self) -> None:
-        failed = Failed.TIMED_OUT if self._sent else Failed.NOT_SENT
+        failed = CallFailure.TIMED_OUT if self._sent else CallFailure.NOT_SENT
         if self._sent and not self.answer_started:
             self._pool.close_idle_without_answer(self.address, self._started_at)
         self._finish(HttpResult(failed, sent=self._sent), keep=False)
 
     def abort(self) -> None:
         """End the call as timed out."""
-        self._finish(HttpResult(Failed.TIMED_OUT, sent=self._sent), keep=False)
+        self._finish(HttpResult(CallFailure.TIMED_OUT, sent=self._sent), keep=False)
 
     def close(self) -> None:
         """Close the connection; no call may be in flight on it."""
@@ -209,14 +209,16 @@
 class _HedgedCall:
     """Call that may be resent over a second connection; the first complete answer is used."""
 
-    def __init__(self, pool: "HttpClient", call: HttpCall, again_s: float, done: Done) -> None:
+    def __init__(
+        self, pool: "HttpClient", call: HttpCall, resend_after_s: float, done: Done
+    ) -> None:
         self._pool = pool
         self._call = call
         self._on_done: Done | None = done
         self._call_started_at = time.monotonic()
         self._sent = False
         self._second: _Exchange | None = None
-        self._timer = pool.timers.after(again_s, lambda: self._resend(again_s))
+        self._timer = pool.timers.after(resend_after_s, lambda: self._resend(resend_after_s))
         # The connect may fail at once, and then reports its result before this call returns.
         self._first = pool.acquire(call.address, call.peer)
         pool.start(self._first, call, lambda result: self._on_result(self._first, result))
@@ -264,8 +266,8 @@
 
     def send(self, call: HttpCall, done: Done) -> Callable[[], None]:
         """Send a call, whose result `done` gets once, and return a function that aborts it."""
-        if call.again_s is not None:
-            return _HedgedCall(self, call, call.again_s, done).abort
+        if call.resend_after_s is not None:
+            return _HedgedCall(self, call, call.resend_after_s, done).abort
         exchange = self.send_pooled(call, done)
 
         def abort() -> None:
@@ -329,8 +331,8 @@
 
 
 def _render(call: HttpCall, peer: PeerIdentity) -> bytes:
-    peer_accepted = call.to_others is None or call.peer == peer.name
-    body = call.body if peer_accepted else call.to_others or b""
+    peer_accepted = call.body_for_unknown_peer is None or call.peer == peer.name
+    body = call.body if peer_accepted else call.body_for_unknown_peer or b""
     lines = [f"{call.method} {call.path} HTTP/1.1", f"Host: {call.address}"]
     lines += [f"{name}: {value}" for name, value in call.headers.items()]
     lines.append(f"Content-Length: {len(body)}")
--- a/spoolcrank/_standin_worker.py
+++ b/spoolcrank/_standin_worker.py
@@ -11,7 +11,7 @@
 
 from spoolcrank.ids import NO_EPOCH, NO_INCARNATION, Epoch, Incarnation, TaskId
 from spoolcrank.jobs import JobClass
-from spoolcrank.resources import NOTHING, Resources, total
+from spoolcrank.resources import NO_RESOURCES, Resources, total
 from spoolcrank.worker import (
     Adopt,
     Command,
@@ -100,12 +100,12 @@
     runs: list[Run] = field(default_factory=list)
     overcommits: list[Overcommit] = field(default_factory=list)
     overuse_s: float = 0.0
-    service_usage: Resources = NOTHING
+    service_usage: Resources = NO_RESOURCES
     _usage: deque[tuple[float, list[Usage]]] = field(default_factory=deque)
     _sampled_at: float = 0.0
     _advanced_at: float = 0.0
 
-    def obey(self, cmd: Command, now: float) -> Report | Refused:
+    def execute(self, cmd: Command, now: float) -> Report | Refused:
         """Execute one command and return a report, or refuse an outdated or misdirected command."""
         self.advance(now)
         refusal = self._fence(cmd, now)
--- a/spoolcrank/_wire.py
+++ b/spoolcrank/_wire.py
@@ -62,7 +62,7 @@
     retry_after_s: float
 
 
-class HandoverNote(NamedTuple):
+class HandoverMessage(NamedTuple):
     """Handover of a server from its owner to the receiver of the message."""
 
     server: InstanceId
@@ -85,7 +85,7 @@
     text: str
 
 
-Message = Heartbeat | Forward | Forwarded | HandoverNote | Query | Answer
+Message = Heartbeat | Forward | Forwarded | HandoverMessage | Query | Answer
 
 
 class Frame(NamedTuple):
@@ -109,7 +109,7 @@
             fields = message._asdict()
             fields["error"] = message.error.value if message.error else ""
             envelope.forwarded = _SCHEMA.Forwarded(**fields)
-        case HandoverNote():
+        case HandoverMessage():
             envelope.handover = _SCHEMA.Handover(**message._asdict())
         case Query():
             envelope.query = _SCHEMA.Query(**message._asdict())
@@ -169,7 +169,7 @@
         return _to_forwarded(envelope.forwarded)
     if envelope.handover is not None:
         handover_message = envelope.handover
-        return HandoverNote(
+        return HandoverMessage(
             InstanceId(handover_message.server),
             Epoch(handover_message.epoch),
             handover_message.busy,
--- a/spoolcrank/odd_ends.py
+++ b/spoolcrank/abnormal_ends.py
@@ -22,16 +22,16 @@
 may fail occasionally."""
 
 
-def blames_runner(task: TaskState, runner: RunnerState, run: Run, now: float) -> bool:
+def record_abnormal_end(task: TaskState, runner: RunnerState, run: Run, now: float) -> bool:
     """Record an abnormal end; return whether the runner is to blame."""
     if run.stage is RunStage.RUNNING and now - run.since >= CLEARS_AFTER_S:
-        task.odd_ends, task.odd_on = 0, ()
-    task.odd_ends += 1
-    delay_s = RESTART_DELAYS_S[min(task.odd_ends, len(RESTART_DELAYS_S)) - 1]
+        task.abnormal_ends, task.abnormal_end_runners = 0, ()
+    task.abnormal_ends += 1
+    delay_s = RESTART_DELAYS_S[min(task.abnormal_ends, len(RESTART_DELAYS_S)) - 1]
     task.not_before = max(task.not_before, now + delay_s)
-    if runner.id in task.odd_on:
+    if runner.id in task.abnormal_end_runners:
         return True
-    if len(task.odd_on) >= MAX_BLAMED_RUNNERS:
+    if len(task.abnormal_end_runners) >= MAX_BLAMED_RUNNERS:
         return False
-    task.odd_on = (*task.odd_on, runner.id)
+    task.abnormal_end_runners = (*task.abnormal_end_runners, runner.id)
     return True
--- a/spoolcrank/assignment.py
+++ b/spoolcrank/assignment.py
@@ -11,12 +11,12 @@
 )
 from spoolcrank.jobs import JobClass, Size
 from spoolcrank.ledger import Task
-from spoolcrank.lost_tasks import APART_AFTER, CLOSED_S, SETTLED_S
+from spoolcrank.lost_tasks import EXCLUSIVE_S, ISOLATE_AFTER_CRASHES, MIN_AGE_GAP_S
 from spoolcrank.owned_server import Append, OwnedServer, Phase
-from spoolcrank.placement import Choice, Obstacle, Room
+from spoolcrank.placement import Choice, Obstacle, ServerCapacity
 from spoolcrank.records import JobRefused, Placed
 from spoolcrank.resources import Resources
-from spoolcrank.state import Core, CoreAction, Note, free_capacity, usable_capacity
+from spoolcrank.state import Core, CoreAction, LogEvent, free_capacity, usable_capacity
 
 _MAX_TASKS_PER_PASS = 64
 """Maximum number of tasks considered in one pass. A pass runs on each tick of 50 ms, alongside
@@ -57,7 +57,7 @@
         if reason:
             core.refusals_sent[job.id] = now
             actions.append(Append(JobRefused(job=job.id, reason=reason)))
-            actions.append(Note("job.refused", {"job": job.id, "reason": reason}))
+            actions.append(LogEvent("job.refused", {"job": job.id, "reason": reason}))
     return actions
 
 
@@ -123,38 +123,39 @@
     for owned in core.owned.values():
         starting = any(ledger.tasks[task].crashes for task in owned.placing)
         if starting or any(
-            task.crashes and wall - task.since < CLOSED_S for task in ledger.placed_at(owned.server)
+            task.crashes and wall - task.since < EXCLUSIVE_S
+            for task in ledger.tasks_on(owned.server)
         ):
             closed.add(owned.server)
     return closed
 
 
 def _candidates(
-    core: Core, task: Task, capacities: list[Room], closed: set[InstanceId], wall: float
-) -> list[Room]:
+    core: Core, task: Task, capacities: list[ServerCapacity], closed: set[InstanceId], wall: float
+) -> list[ServerCapacity]:
     """Return the servers on which a task may be placed, given the crashes it was involved in.
 
     After two crashes, a task goes only to servers where nothing has started recently, so that
     another crash is evidence against it, and of these to the ones with the fewest tasks.
     """
     free = [capacity for capacity in capacities if capacity.server not in closed]
-    if len(task.crashes) < APART_AFTER:
+    if len(task.crashes) < ISOLATE_AFTER_CRASHES:
         return free
     quiet = [capacity for capacity in free if _is_quiet(core, capacity.server, wall)]
-    fewest = min((len(core.ledger.placed_at(capacity.server)) for capacity in quiet), default=0)
-    return [capacity for capacity in quiet if len(core.ledger.placed_at(capacity.server)) == fewest]
+    fewest = min((len(core.ledger.tasks_on(capacity.server)) for capacity in quiet), default=0)
+    return [capacity for capacity in quiet if len(core.ledger.tasks_on(capacity.server)) == fewest]
 
 
 def _is_quiet(core: Core, server: InstanceId, wall: float) -> bool:
     if core.owned[server].placing:
         return False
-    return all(wall - task.since >= SETTLED_S for task in core.ledger.placed_at(server))
+    return all(wall - task.since >= MIN_AGE_GAP_S for task in core.ledger.tasks_on(server))
 
 
 def _place_task(
     core: Core,
     task: Task,
-    capacities: list[Room],
+    capacities: list[ServerCapacity],
     peers: list[tuple[InstanceId, Resources]],
     now: float,
 ) -> Choice:
@@ -193,16 +194,17 @@
     """
     spec = core.ledger.spec(task)
     declared = spec.size.resources
-    learnt = core.learnt.size_for(spec.task_class, declared, core.policy)
-    if learnt.fits_in(declared):
-        return learnt
+    interference_model = core.interference_model.size_for(spec.task_class, declared, core.policy)
+    if interference_model.fits_in(declared):
+        return interference_model
     backends = (
         instance for instance in core.members.listed.values() if instance.role is Role.BACKEND
     )
     if any(
-        learnt.fits_in(placement.max_capacity(instance, spec, core.policy)) for instance in backends
+        interference_model.fits_in(placement.max_capacity(instance, spec, core.policy))
+        for instance in backends
     ):
-        return learnt
+        return interference_model
     return declared
 
 
@@ -220,12 +222,12 @@
         ),
     )
     owned.placing[task.id] = record
-    if core.learnt.is_suspect(server):
-        core.learnt.probed_at[server] = now
+    if core.interference_model.is_suspect(server):
+        core.interference_model.probed_at[server] = now
     return record
 
 
-def _server_capacities(core: Core, now: float) -> list[Room]:
+def _server_capacities(core: Core, now: float) -> list[ServerCapacity]:
     capacities = []
     for owned in core.owned.values():
         instance = core.members.listed.get(owned.server)
@@ -239,16 +241,18 @@
     return capacities
 
 
-def _server_capacity(core: Core, owned: OwnedServer, instance: Instance, now: float) -> Room:
-    return Room(
+def _server_capacity(
+    core: Core, owned: OwnedServer, instance: Instance, now: float
+) -> ServerCapacity:
+    return ServerCapacity(
         server=owned.server,
         rack=instance.rack,
         kind=instance.kind,
         free=free_capacity(core, owned),
         whole=usable_capacity(core, owned, instance),
-        suspect=core.learnt.is_suspect(owned.server),
-        probe=core.learnt.may_probe(owned.server, now),
-        batch=core.learnt.level(owned.server) is interference.Level.OPEN,
+        suspect=core.interference_model.is_suspect(owned.server),
+        probe=core.interference_model.may_probe(owned.server, now),
+        batch=core.interference_model.level(owned.server) is interference.Level.OPEN,
         sheltered=_is_sheltered(core, instance),
     )
 
@@ -256,12 +260,14 @@
 def _peer_capacities(core: Core, now: float) -> list[tuple[InstanceId, Resources]]:
     capacities = []
     for peer in core.members.peers.values():
-        if not membership.is_alive(core.members, peer.beat.sender, core.policy, now):
+        if not membership.is_alive(core.members, peer.heartbeat.sender, core.policy, now):
             continue
-        if peer.beat.leaving or not peer.beat.log_ok:
+        if peer.heartbeat.leaving or not peer.heartbeat.log_ok:
             continue
         capacities += [
-            (peer.beat.sender, status.free) for status in peer.beat.servers if status.ready
+            (peer.heartbeat.sender, status.free)
+            for status in peer.heartbeat.servers
+            if status.ready
         ]
     return capacities
 
@@ -295,14 +301,14 @@
         instance = core.members.listed.get(server)
         if instance is None or not instance.service:
             return 0.0
-        return core.learnt.known_slowdown(
+        return core.interference_model.known_slowdown(
             instance.service, task_class, instance.kind, core.policy, now
         )
 
     return noisiness
 
 
-def forget_ended(core: Core) -> None:
+def drop_stale_records(core: Core) -> None:
     """Drop records about tasks that no longer wait and jobs that no longer exist."""
     for task in [task for task in core.obstacles if task not in core.ledger.pending]:
         del core.obstacles[task]
--- a/spoolcrank/backlog.py
+++ b/spoolcrank/backlog.py
@@ -24,14 +24,14 @@
     cores: float
 
 
-def tell_backlog_now_and_then(state: Scheduler, now: float) -> None:
+def log_backlog_periodically(state: Scheduler, now: float) -> None:
     """Log the backlog if BACKLOG_INTERVAL_S has passed since the last report."""
     if now - state.backlog_logged_at >= BACKLOG_INTERVAL_S:
         state.backlog_logged_at = now
-        tell_backlog(state, now)
+        log_backlog(state, now)
 
 
-def tell_backlog(state: Scheduler, now: float) -> None:
+def log_backlog(state: Scheduler, now: float) -> None:
     """Log an event for each image of waiting fillers: amount waiting and obstacles on runners."""
     waiting = _waiting(state)
     running = _running_cores(state)
@@ -46,7 +46,7 @@
         serving = sorted(
             {serving_image for runner in state.runners.values() for serving_image in runner.serving}
         )
-        state.note(
+        state.log_event(
             "fillers-wait",
             image=image,
             waiting_cores=round(backlog.cores, 1),
@@ -56,7 +56,10 @@
             beliefs=[
                 [
                     serving_image,
-                    *(round(part, 2) for part in state.contention.belief(serving_image, image)),
+                    *(
+                        round(part, 2)
+                        for part in state.contention.weight_estimate(serving_image, image)
+                    ),
                 ]
                 for serving_image in serving
             ],
--- a/spoolcrank/batching.py
+++ b/spoolcrank/batching.py
@@ -1,15 +1,15 @@
 """Collect the leader's records into batches, and carry out what waited for them to be stored."""
 
 from spoolcrank.ids import JobId
-from spoolcrank.keyed_log import LEARNT_KEY, KeyedRecord, cancel_key, job_key, progress_key
-from spoolcrank.learnt import Learnt, encode_learnt
+from spoolcrank.keyed_log import LEARNED_KEY, KeyedRecord, cancel_key, job_key, progress_key
+from spoolcrank.learned_state import LearnedState, encode_learned_state
+from spoolcrank.pending_writes import Batch, BoundRun, PendingWrites
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import RunStage
 from spoolcrank.scheduler import Scheduler
-from spoolcrank.unkept import Batch, BoundRun, Unkept
 from spoolcrank.workflow import encode_progress
 
-KEEP_ENDED_S = 150.0
+ENDED_JOB_RETENTION_S = 150.0
 """Time after its end for which a job's records are stored, in seconds. Clients ask for states for
 120 s."""
 
@@ -25,18 +25,23 @@
         for runner in state.runners.values()
         if runner.seen_next > runner.seen
     }
-    unkept = state.unkept
-    if not (unkept.jobs or unkept.other_records or seen):
+    pending_writes = state.pending_writes
+    if not (pending_writes.jobs or pending_writes.other_records or seen):
         return None
     records = [
         KeyedRecord(progress_key(job_id), encode_progress(state.jobs[job_id].progress()))
-        for job_id in unkept.jobs
+        for job_id in pending_writes.jobs
     ]
-    state.unkept = Unkept()
-    return Batch(records + unkept.other_records, unkept.starts, seen, unkept.preassigned)
+    state.pending_writes = PendingWrites()
+    return Batch(
+        records + pending_writes.other_records,
+        pending_writes.starts,
+        seen,
+        pending_writes.preassigned,
+    )
 
 
-def batch_kept(state: Scheduler, batch: Batch, now: float) -> None:
+def on_batch_stored(state: Scheduler, batch: Batch, now: float) -> None:
     """Apply what waited for a batch to be stored."""
     for bound in batch.preassigned:
         _confirm_preassignment(state, bound)
@@ -54,12 +59,12 @@
     task = job.task(bound.task)
     # A later preassignment may be pending: confirm this one only if it is still current.
     if task.preassigned == bound.runner and task.run + 1 == bound.number:
-        task.preassigned_kept = True
+        task.preassigned_stored = True
 
 
 def order_starts(state: Scheduler, now: float) -> None:
     """Order the waiting runs, whose records are stored, as far as the start window allows."""
-    while state.starts.waiting and state.starts.takes(now):
+    while state.starts.waiting and state.starts.may_send(now):
         _start(state, state.starts.waiting.popleft(), now)
 
 
@@ -82,34 +87,34 @@
 
 def _reason_not_to_start(runner: RunnerState, now: float) -> str:
     """Return why no run should start on a runner any more; empty if one may."""
-    if runner.emptied:
+    if runner.evacuated:
         return "its availability zone is being evacuated"
-    if runner.leaves(now):
+    if runner.is_leaving(now):
         return "its runner is leaving"
     return "its runner is silent" if runner.silent_since is not None else ""
 
 
-def keep_learnt(state: Scheduler, now: float) -> None:
+def store_learned(state: Scheduler, now: float) -> None:
     """Store the learned interference and times for the next leader, if that is due."""
-    if now - state.learnt_at < LEARNED_STORE_INTERVAL_S:
+    if now - state.learned_state_stored_at < LEARNED_STORE_INTERVAL_S:
         return
-    state.learnt_at = now
-    learnt = state.contention.learnt()
-    times = state.times.learnt()
-    if learnt or times:
-        record = KeyedRecord(LEARNT_KEY, encode_learnt(Learnt(learnt, times)))
-        state.unkept.other_records.append(record)
+    state.learned_state_stored_at = now
+    learned_state = state.contention.learned_state()
+    times = state.times.learned_state()
+    if learned_state or times:
+        record = KeyedRecord(LEARNED_KEY, encode_learned_state(LearnedState(learned_state, times)))
+        state.pending_writes.other_records.append(record)
 
 
-def drop_ended(state: Scheduler, now: float) -> None:
+def drop_ended_jobs(state: Scheduler, now: float) -> None:
     """Delete the records of jobs that ended long ago and have no bound run."""
     retained: list[tuple[float, JobId]] = []
     for ended_at, job_id in state.ended:
         job = state.jobs[job_id]
-        if now - ended_at < KEEP_ENDED_S or next(job.bound(), None) is not None:
+        if now - ended_at < ENDED_JOB_RETENTION_S or next(job.bound(), None) is not None:
             retained.append((ended_at, job_id))
             continue
         del state.jobs[job_id]
         keys = (job_key(job_id), cancel_key(job_id), progress_key(job_id))
-        state.unkept.other_records += [KeyedRecord(key, b"") for key in keys]
+        state.pending_writes.other_records += [KeyedRecord(key, b"") for key in keys]
     state.ended = retained
--- a/spoolcrank/binding.py
+++ b/spoolcrank/binding.py
@@ -1,10 +1,10 @@
 """Bind waiting tasks to runners, preassign them, and move running tasks."""
 
 from spoolcrank.job_state import NO_RUNNER, JobState
-from spoolcrank.runner_state import Promise, RunnerState
+from spoolcrank.pending_writes import BoundRun
+from spoolcrank.runner_state import Reservation, RunnerState
 from spoolcrank.runs import RunStage
 from spoolcrank.scheduler import Scheduler
-from spoolcrank.unkept import BoundRun
 from spoolcrank.workflow import Phase, RunnerId, TaskKey
 
 MOVE_TIMEOUT_S = 1.5
@@ -21,11 +21,11 @@
     step.waiting.pop(key.number, None)
     destination = state.runners.get(task.wanted)
     if destination is not None:
-        destination.promised.pop(key, None)
+        destination.reservations.pop(key, None)
     task.wanted = NO_RUNNER
-    task.apart_from = None
-    preassigned_here = task.preassigned_kept and task.preassigned == runner.id
-    task.preassigned, task.preassigned_kept = NO_RUNNER, False
+    task.isolation_wanted_since = None
+    preassigned_here = task.preassigned_stored and task.preassigned == runner.id
+    task.preassigned, task.preassigned_stored = NO_RUNNER, False
     task.phase = Phase.BOUND
     task.run = number
     task.runner = runner.id
@@ -34,7 +34,7 @@
     run = state.new_run(job, key, number, RunStage.RECORDED, now)
     run.resumed = bool(task.saved)
     runner.add(key, run)
-    state.unkept.change(job.id)
+    state.pending_writes.add_changed_job(job.id)
     # With a stored preassignment, the records already name this run and runner.
     if preassigned_here and state.starts.open:
         run.stage = RunStage.ORDERED
@@ -42,8 +42,8 @@
     elif preassigned_here:
         state.starts.waiting.append(BoundRun(runner.id, key, number))
     else:
-        state.unkept.starts.append(BoundRun(runner.id, key, number))
-    state.note(
+        state.pending_writes.starts.append(BoundRun(runner.id, key, number))
+    state.log_event(
         "task-bound",
         task=key,
         run=number,
@@ -59,10 +59,10 @@
     task = job.task(key)
     if task.phase is not Phase.WAITING or task.preassigned == runner:
         return
-    task.preassigned, task.preassigned_kept = runner, False
-    state.unkept.change(job.id)
+    task.preassigned, task.preassigned_stored = runner, False
+    state.pending_writes.add_changed_job(job.id)
     if runner != NO_RUNNER:
-        state.unkept.preassigned.append(BoundRun(runner, key, task.run + 1))
+        state.pending_writes.preassigned.append(BoundRun(runner, key, task.run + 1))
 
 
 def move(
@@ -75,6 +75,6 @@
     source_runner, target_runner = state.runners.get(source), state.runners.get(destination)
     run = source_runner.runs.get(key) if source_runner is not None else None
     if run is not None and target_runner is not None:
-        target_runner.promised[key] = Promise(run.demand, task.wanted_until)
-    state.note("task-moves", task=key, runner=source, to=destination)
+        target_runner.reservations[key] = Reservation(run.demand, task.wanted_until)
+    state.log_event("task-moves", task=key, runner=source, to=destination)
     state.stop_run(key, source, now)
--- a/spoolcrank/callers.py
+++ b/spoolcrank/callers.py
@@ -12,7 +12,7 @@
 from spoolcrank._wire import Forward, Forwarded, Frame
 from spoolcrank.caller_request import HOP_HEADERS, RequestContext, forwarded_headers, parse_headers
 from spoolcrank.controller import Controller
-from spoolcrank.decisions import Decision, Decisions
+from spoolcrank.decisions import Decision, DecisionHistory
 from spoolcrank.errors import ANSWERS, ErrorKind, Outcome, Refusal
 from spoolcrank.fleet import Instance, Role
 from spoolcrank.ids import Caller, InstanceId, RequestId, ServiceName, unique
@@ -35,7 +35,7 @@
     ToPeer,
     ToRunner,
 )
-from spoolcrank.runner_answers import judge, public_id, result_of
+from spoolcrank.runner_answers import classify_result, public_id, result_of_error
 from spoolcrank.state import can_act
 
 TICK_S = 0.02
@@ -64,7 +64,7 @@
         self._keyed = KeyedRequests(
             controller, metrics, self._contexts, self._submit, self._refuse, self._is_routed
         )
-        self.decisions = Decisions()
+        self.decisions = DecisionHistory()
         self.closing = False
         self._arrivals: Counter[ServiceName] = Counter()
         self._rates: dict[ServiceName, float] = {}
@@ -76,7 +76,7 @@
         timers.every(TICK_S, self._tick)
 
     @property
-    def under_way(self) -> int:
+    def unanswered(self) -> int:
         """Return how many requests have no answer yet, repeats of a key included."""
         return len(self._contexts) + self._keyed.waiting
 
@@ -151,7 +151,7 @@
         return any(listed.service == service for listed in self._core.members.listed.values())
 
     def _is_routed(self, request: RequestId) -> bool:
-        return request in self.router.flights
+        return request in self.router.in_flight
 
     def _submit(self, request: Request, context: RequestContext) -> None:
         self._contexts[request.id] = context
@@ -184,8 +184,8 @@
                 server,
                 instance.service,
                 instance.slots,
-                withheld_until=owned.slots_from,
-                withheld_slots=owned.slots_held,
+                withheld_until=owned.inherited_until,
+                withheld_slots=owned.inherited_slots,
             )
             current.append(runner)
         known_runners.sync_runners(self.router, current)
@@ -215,7 +215,7 @@
 
     def _send_to_runner(self, action: ToRunner) -> None:
         context = self._contexts[action.request]
-        call = self.router.flights[action.request]
+        call = self.router.in_flight[action.request]
         instance = self._core.members.listed[action.server]
         left_s = max(0.0, call.req.deadline - time.monotonic())
         headers = {**context.headers, REQUEST_ID_HEADER: public_id(action.request)}
@@ -225,7 +225,7 @@
         self._http.send(http_call, lambda result: self._on_runner_answer(action, result))
 
     def _on_runner_answer(self, action: ToRunner, result: HttpResult) -> None:
-        outcome = judge(action.request, result)
+        outcome = classify_result(action.request, result)
         if outcome in (Result.ANSWERED, Result.SERVICE_ERROR):
             headers = {
                 name: value
@@ -238,7 +238,7 @@
         elif outcome is not Result.NOT_SENT:
             self._metrics.incr(f"runner.{outcome.value}")
         now = time.monotonic()
-        call = self.router.flights.get(action.request)
+        call = self.router.in_flight.get(action.request)
         if call is not None and outcome is Result.ANSWERED:
             self._metrics.timing("runner", now - call.sent_at)
             self._controller.on_latency(action.server, now - call.sent_at, now)
@@ -251,7 +251,7 @@
 
     def _send_to_peer(self, action: ToPeer) -> None:
         context = self._contexts[action.request]
-        call = self.router.flights[action.request]
+        call = self.router.in_flight[action.request]
         now = time.monotonic()
         message = Forward(
             request=RequestId(f"{action.request}/{action.attempt}"),
@@ -265,7 +265,7 @@
             repeatable=call.req.repeatable,
         )
         self._metrics.incr("route.forwarded")
-        if self._controller.peers.tell(action.peer, message):
+        if self._controller.peers.send(action.peer, message):
             return
         self._perform(
             routing.on_result(
@@ -285,8 +285,8 @@
                 self._on_forward(frame.sender, forward)
             case Forwarded() as forwarded:
                 self._on_forwarded(forwarded)
-            case Heartbeat() as beat:
-                self._on_heartbeat(beat)
+            case Heartbeat() as heartbeat:
+                self._on_heartbeat(heartbeat)
             case _:
                 pass
 
@@ -295,15 +295,17 @@
         now = time.monotonic()
         self._perform(routing.drop_peer(self.router, peer, self._core.policy, now))
 
-    def _on_heartbeat(self, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         free: dict[ServiceName, list[FreeSlots]] = {}
-        if not beat.leaving:
-            for status in beat.servers:
+        if not heartbeat.leaving:
+            for status in heartbeat.servers:
                 instance = self._core.members.listed.get(status.server)
                 if instance is not None and instance.service:
                     known = free.setdefault(instance.service, [])
                     known.append(FreeSlots(status.free_slots, status.latency_s))
-        known_runners.on_peer_slots(self.router, beat.sender, beat.zone, free, time.monotonic())
+        known_runners.on_peer_slots(
+            self.router, heartbeat.sender, heartbeat.zone, free, time.monotonic()
+        )
 
     def _on_forward(self, sender: InstanceId, forward: Forward) -> None:
         now = time.monotonic()
@@ -338,7 +340,7 @@
             result, refusal = Result.ANSWERED, None
         else:
             refusal = Refusal(message.error, message.detail, "", message.retry_after_s)
-            result = result_of(message.error)
+            result = result_of_error(message.error)
         self._perform(
             routing.on_result(
                 self.router, request, attempt, result, self._core.policy, now, refusal
@@ -385,12 +387,12 @@
             server=InstanceId(""),
             retry_after_s=refusal.retry_after_s if refusal else 0.0,
         )
-        self._controller.peers.tell(origin, message)
+        self._controller.peers.send(origin, message)
 
     def _refuse(self, request: RequestId, refusal: Refusal, reply: Reply) -> None:
         self._metrics.incr(f"refused.{refusal.kind.value}")
         version = self._controller.config.version
-        self.decisions.keep(
+        self.decisions.add(
             Decision(request, refusal.kind.value, refusal.detail, time.time(), version)
         )
         log("request.refused", request=request, error=refusal.kind.value, detail=refusal.detail)
--- a/spoolcrank/claiming.py
+++ b/spoolcrank/claiming.py
@@ -27,7 +27,7 @@
 Repeating a claim is harmless, and 29 instances use at most 290 of the store's 1,200 writes per
 second."""
 
-_TERM_SEEN = (AppendOutcome.FENCED, AppendOutcome.OUT_OF_ORDER, AppendOutcome.KEPT)
+_TERM_SEEN = (AppendOutcome.FENCED, AppendOutcome.OUT_OF_ORDER, AppendOutcome.STORED)
 
 
 class Claiming:
@@ -77,7 +77,7 @@
         claim = self.leadership.next_claim(now)
         self._telemetry.log(
             "claims",
-            grave=True,
+            important=True,
             term=claim.term,
             silent_s=round(now - self.leadership.last_contact_at, 2),
             offset=self._follower.copy.next_offset,
@@ -101,15 +101,15 @@
         return self._follower.copy.next_offset
 
     def _on_claimed(self, appended: Appended) -> None:
-        self._telemetry.log("claim-answered", grave=True, outcome=appended.outcome.value)
+        self._telemetry.log("claim-answered", important=True, outcome=appended.outcome.value)
         if appended.outcome in _TERM_SEEN:
             self.leadership.record_unread_claim()
             # A stored claim is read back shortly; otherwise another instance claimed.
             self.leadership.defer_claim(self._clock())
-        elif appended.outcome is not AppendOutcome.MOVED:
+        elif appended.outcome is not AppendOutcome.OFFSET_MISMATCH:
             self._retry_at = self._clock() + CLAIM_RETRY_S
         self._finish()
-        if appended.outcome is AppendOutcome.MOVED:
+        if appended.outcome is AppendOutcome.OFFSET_MISMATCH:
             self.claim_or_offer(self._clock())
         else:
             self._follower.refresh(lambda ok: None)
@@ -131,6 +131,6 @@
     def _offer(self, now: float) -> None:
         """Write an offer to lead, as this instance has many more processors than the leader."""
         offer = self.leadership.own_offer(now)
-        self._telemetry.log("offers", grave=True, processors=offer.processors)
+        self._telemetry.log("offers", important=True, processors=offer.processors)
         record = KeyedRecord(OFFER_KEY, encode(offer))
         self._log.append(Append([record]), lambda appended: None)
--- a/spoolcrank/cli.py
+++ b/spoolcrank/cli.py
@@ -19,7 +19,7 @@
 from spoolcrank.job_times import job_times
 from spoolcrank.log_search import lines_about, parse_lines
 from spoolcrank.resources import Resources
-from spoolcrank.serve_words import METRICS_PORT
+from spoolcrank.serve_args import DEFAULT_METRICS_PORT
 from spoolcrank.settings import check_entry
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help=__doc__)
@@ -181,7 +181,7 @@
     )
     report = load.offer(plan)
     if answers:
-        lines = [json.dumps(result._asdict()) for result in report.seen]
+        lines = [json.dumps(result._asdict()) for result in report.request_results]
         Path(answers).write_text("\n".join(lines) + "\n", encoding="utf-8")
     if as_json:
         sys.stdout.write(json.dumps(report.summary()) + "\n")
@@ -245,7 +245,7 @@
 def serve_command(
     metrics_port: Annotated[
         int, typer.Option(envvar="SPOOLCRANK_METRICS_PORT", help="port of the Prometheus metrics")
-    ] = METRICS_PORT,
+    ] = DEFAULT_METRICS_PORT,
 ) -> None:
     """Run the daemon of an instance on the users' platform, with settings from a file."""
     from spoolcrank.platform.daemon import run
--- a/spoolcrank/common_cause.py
+++ b/spoolcrank/common_cause.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Hashable, Iterable, Iterator, Sequence
 
-from spoolcrank.crash_record import SOON_S, CommonCause, Fall
+from spoolcrank.crash_history import SOON_S, CommonCause, RunnerFailure
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import StepKey
@@ -20,18 +20,18 @@
 """Minimum number of runners that fail together by a common cause; fewer do so by chance."""
 
 
-def failure_of(runner: RunnerState, now: float) -> Fall:
+def failure_of(runner: RunnerState, now: float) -> RunnerFailure:
     """Return the failure of a runner, with the steps that had begun there shortly before."""
     first_missed_at = now if runner.silent_since is None else runner.silent_since
     recent_steps = frozenset(
-        key.of_step
+        key.step_key
         for key, run in runner.runs.items()
         if run.ordered_at is not None and first_missed_at - run.ordered_at <= SOON_S
     )
     # A runner that failed before it answered this leader did so after it was registered, as far as
     # is known.
-    last_answered_at = max(runner.met_at, runner.answered_at)
-    return Fall(
+    last_answered_at = max(runner.first_seen_at, runner.answered_at)
+    return RunnerFailure(
         runner.id,
         last_answered_at,
         first_missed_at,
@@ -42,13 +42,13 @@
 
 
 def find_cause(
-    state: Scheduler, failure: Fall, now: float
-) -> tuple[CommonCause, list[Fall]] | None:
+    state: Scheduler, failure: RunnerFailure, now: float
+) -> tuple[CommonCause, list[RunnerFailure]] | None:
     """Return the common cause of a failure and the failures that reveal it, or None.
 
     A failure that matches a cause that is known already is returned alone.
     """
-    for known in state.crashes.common_causes:
+    for known in state.crash_history.common_causes:
         at_once = failure.last_answered_at <= known.until and known.since <= failure.first_missed_at
         if known.group in failure.groups and at_once:
             return known, [failure]
@@ -62,12 +62,12 @@
         if len(failed) >= max(MIN_FAILED_RUNNERS, MIN_FAILED_SHARE * (len(failed) + remaining)):
             since, until = _moment(failed)
             cause = CommonCause(group, since, until, _only_step(failed))
-            state.crashes.common_causes.append(cause)
+            state.crash_history.common_causes.append(cause)
             return cause, failed
     return None
 
 
-def _moment(failed: Sequence[Fall]) -> tuple[float, float]:
+def _moment(failed: Sequence[RunnerFailure]) -> tuple[float, float]:
     """Return the time span in which some runners failed, assuming that it was at one moment."""
     answered, missed = (
         max(runner.last_answered_at for runner in failed),
@@ -76,7 +76,7 @@
     return min(answered, missed), max(answered, missed)
 
 
-def _only_step(failed: Iterable[Fall]) -> StepKey | None:
+def _only_step(failed: Iterable[RunnerFailure]) -> StepKey | None:
     """Return the only step of which a task had just begun on each of some runners, or None.
 
     All tasks of such a step may crash their runners; that these runners failed together then does
@@ -87,25 +87,25 @@
     return next(iter(shared)) if len(shared) == 1 else None
 
 
-def _failures(state: Scheduler, now: float) -> Iterator[Fall]:
+def _failures(state: Scheduler, now: float) -> Iterator[RunnerFailure]:
     """Yield the recent failures, and possible failures of runners that are silent."""
-    known = {failure.runner for failure in state.crashes.recent_failures}
-    yield from state.crashes.recent_failures
+    known = {failure.runner for failure in state.crash_history.recent_failures}
+    yield from state.crash_history.recent_failures
     for runner in state.runners.values():
         silent = runner.silent_since is not None and (runner.answered_at >= 0 or runner.runs)
         if silent and runner.id not in known:
             yield failure_of(runner, now)
 
 
-def _remaining_runners(state: Scheduler, failure: Fall) -> Iterator[RunnerState]:
+def _remaining_runners(state: Scheduler, failure: RunnerFailure) -> Iterator[RunnerState]:
     """Yield the runners that were registered before a failure and still answer."""
     for runner in state.runners.values():
         answers = runner.adopted and not runner.gone and runner.silent_since is None
-        if answers and runner.met_at <= failure.last_answered_at:
+        if answers and runner.first_seen_at <= failure.last_answered_at:
             yield runner
 
 
-def _overlap(one: Fall, other: Fall) -> bool:
+def _overlap(one: RunnerFailure, other: RunnerFailure) -> bool:
     return (
         one.last_answered_at <= other.first_missed_at
         and other.last_answered_at <= one.first_missed_at
--- a/spoolcrank/contention.py
+++ b/spoolcrank/contention.py
@@ -92,7 +92,7 @@
     variance: float = LOAD_VARIANCE
     at: float | None = None
 
-    def ahead(self, usual: float, now: float) -> tuple[float, float]:
+    def predict(self, usual: float, now: float) -> tuple[float, float]:
         """Return the level and variance expected at `now`, as the level returns to `usual`."""
         if self.at is None:
             return usual, LOAD_VARIANCE
@@ -200,7 +200,7 @@
         return total_variance
 
 
-class Contention:
+class ContentionModel:
     """One leader's model of how filler images affect serving images."""
 
     def __init__(self) -> None:
@@ -209,7 +209,7 @@
         self._mix: Mapping[str, float] = UNKNOWN_FILLER_MIX
         self._tolerated_shares: dict[frozenset[str], float] = {}
 
-    def learnt(self) -> tuple[StoredServingImage, ...]:
+    def learned_state(self) -> tuple[StoredServingImage, ...]:
         """Return the state for the next leader, without the covariances between weights."""
         return tuple(
             StoredServingImage(
@@ -238,7 +238,7 @@
                 weights.covariances[position][position] = weight.variance
                 weights.judgements[position] = _judge(weight.mean, weight.variance)
 
-    def expect(self, mix: Mapping[str, float]) -> None:
+    def set_expected_fillers(self, mix: Mapping[str, float]) -> None:
         """Set the share of each filler image in the total demand, and clear cached shares."""
         self._mix = mix or UNKNOWN_FILLER_MIX
         self._tolerated_shares = {}
@@ -251,7 +251,7 @@
         """Return the probability that a filler image does not slow a serving image, 0 to 1."""
         return self._judgement(serving, filler).harmless
 
-    def belief(self, serving: str, filler: str) -> tuple[float, float]:
+    def weight_estimate(self, serving: str, filler: str) -> tuple[float, float]:
         """Return the mean and variance of a pair's weight."""
         weights = self._weights.get(serving)
         position = None if weights is None else weights.index.get(filler)
@@ -259,7 +259,7 @@
             return PRIOR_WEIGHT, PRIOR_VARIANCE
         return weights.means[position], weights.covariances[position][position]
 
-    def borne(self, serving: frozenset[str]) -> float:
+    def tolerated_share(self, serving: frozenset[str]) -> float:
         """Return the share of the expected fillers that likely slows none of the images."""
         share = self._tolerated_shares.get(serving)
         if share is None:
@@ -294,7 +294,7 @@
             now: monotonic seconds.
         """
         usual = self.base(serving)
-        level, variance = load.ahead(usual, now)
+        level, variance = load.predict(usual, now)
         weights = self._weights.setdefault(serving, _Weights())
         known_shares = [
             (weights.position(image), share)
--- a/spoolcrank/controller.py
+++ b/spoolcrank/controller.py
@@ -8,13 +8,13 @@
 
 from circuits import BaseComponent, handler
 
-from spoolcrank import assignment, membership, ownership, policy, replay, tenure, trace
+from spoolcrank import assignment, membership, ownership, ownership_transfer, policy, replay, trace
 from spoolcrank import core as decisions
 from spoolcrank._timers import Timers
-from spoolcrank._wire import Answer, Frame, HandoverNote, Query
+from spoolcrank._wire import Answer, Frame, HandoverMessage, Query
 from spoolcrank.fleet import Instance, Role
 from spoolcrank.ids import InstanceId
-from spoolcrank.interference import Lesson, Told, ToldUse
+from spoolcrank.interference import ClassUseEstimate, ModelSnapshot, PairEstimate
 from spoolcrank.log_link import ConfigEntry, LogLink, Snapshot, dump_snapshot, parse_snapshot
 from spoolcrank.logs import log
 from spoolcrank.membership import Heartbeat
@@ -23,7 +23,7 @@
 from spoolcrank.peer_link import PeerLink
 from spoolcrank.published_config import PublishedConfig
 from spoolcrank.records import Entry
-from spoolcrank.state import Core, CoreAction, Handover, Note
+from spoolcrank.state import Core, CoreAction, Handover, LogEvent
 from spoolcrank.state_source import StateSource
 from spoolcrank.worker import Refused, Report
 from spoolcrank.worker_link import WorkerLink
@@ -82,7 +82,7 @@
         self._caught_up = False
         timers.every(TICK_S, self._tick)
         timers.after(0.0, self._send_periodic_heartbeat)
-        timers.every(_RECORD_CLEANUP_INTERVAL_S, lambda: assignment.forget_ended(self.core))
+        timers.every(_RECORD_CLEANUP_INTERVAL_S, lambda: assignment.drop_stale_records(self.core))
         timers.every(1.0, self._write_snapshot_if_due)
         timers.every(_LEARNED_INTERVAL_S, self._publish_learned)
 
@@ -114,7 +114,7 @@
 
     def _tick_input(self, wall: float) -> dict[str, Any]:
         waiting = {server: owned.waiting for server, owned in self.core.owned.items()}
-        rates = replay.rates_of(self.core)
+        rates = replay.service_rates(self.core)
         busy = {server: self.core.busy_slots(server) for server in self.core.owned}
         return {"kind": "tick", "wall": wall, "waiting": waiting, "rates": rates, "busy": busy}
 
@@ -131,11 +131,11 @@
     def on_latency(self, server: InstanceId, latency_s: float, now: float) -> None:
         """Update the interference model with the latency of one request."""
         self._trace_input(now, {"kind": "latency", "server": server, "latency_s": latency_s})
-        self.core.learnt.on_latency(server, latency_s, now)
+        self.core.interference_model.on_latency(server, latency_s, now)
 
     def hand_over_all(self) -> None:
         """Hand over every server and announce at once to all peers that this instance leaves."""
-        self.act(tenure.hand_over_all(self.core, time.monotonic()))
+        self.act(ownership_transfer.hand_over_all(self.core, time.monotonic()))
         self._send_heartbeat(all_zones=True)
 
     def act(self, actions: list[CoreAction]) -> None:
@@ -149,10 +149,10 @@
                     self._workers.command(action.server, action.command)
                 case Handover():
                     self._workers.drop(action.server)
-                    self.peers.tell(
-                        action.to, HandoverNote(action.server, action.epoch, action.busy)
+                    self.peers.send(
+                        action.to, HandoverMessage(action.server, action.epoch, action.busy)
                     )
-                case Note():
+                case LogEvent():
                     self._metrics.incr(f"core.{action.name}")
                     log(action.name, instance=self.core.members.me, **action.fields)
 
@@ -160,10 +160,10 @@
     def _on_log_read(self, entries: list[Entry], asked_at: float, at_end: bool) -> None:
         now = time.monotonic()
         for entry in entries:
-            traced = trace.told_entry(entry) if self.recorder else {}
+            traced = trace.entry_input(entry) if self.recorder else {}
             self._carry_out(now, traced, decisions.on_entry(self.core, entry, now))
             if entry.envelope.writer == self.core.members.incarnation:
-                self.log_link.resolve(entry.envelope.seq)
+                self.log_link.confirm_applied(entry.envelope.seq)
         if at_end:
             self._trace_input(now, {"kind": "read", "asked_at": asked_at})
             decisions.on_log_read(self.core, asked_at)
@@ -186,12 +186,12 @@
         if snapshot.ledger.offset <= self.core.ledger.offset:
             return
         now = time.monotonic()
-        traced = trace.told_ledger(snapshot.ledger) if self.recorder else {}
+        traced = trace.ledger_input(snapshot.ledger) if self.recorder else {}
         self._carry_out(now, traced, decisions.replace_ledger(self.core, snapshot.ledger, now))
         self.log_link.skip_to(snapshot.ledger.offset)
         writer = snapshot.ledger.writers.get(self.core.members.incarnation)
         if writer is not None:
-            self.log_link.resolve(writer.seq)
+            self.log_link.confirm_applied(writer.seq)
 
     @handler("config_read", channel="*")
     def _on_config_read(self, records: list[ConfigEntry]) -> None:
@@ -210,29 +210,29 @@
     @handler("fleet_listed", channel="*")
     def _on_fleet_listed(self, instances: list[Instance]) -> None:
         now = time.monotonic()
-        self._trace_input(now, trace.told_list(instances) if self.recorder else {})
+        self._trace_input(now, trace.list_input(instances) if self.recorder else {})
         membership.on_list(self.core.members, instances, now)
         addresses = {}
         entries = 0
         for instance in instances:
             if instance.role is Role.BACKEND:
-                self._workers.know(instance.id, instance.address)
+                self._workers.update_addresses(instance.id, instance.address)
             else:
                 entries += 1
                 addresses[instance.id] = instance.peer_address
-        self.peers.know(addresses)
+        self.peers.update_addresses(addresses)
         self.log_link.interval_s = max(1, entries) / MAX_APPENDS_PER_S
 
     @handler("worker_reported", channel="*")
     def _on_worker_reported(self, server: InstanceId, report: Report, sent_at: float) -> None:
         now = time.monotonic()
-        traced = trace.told_report(server, report, sent_at) if self.recorder else {}
+        traced = trace.report_input(server, report, sent_at) if self.recorder else {}
         self._carry_out(now, traced, decisions.on_report(self.core, server, report, sent_at, now))
 
     @handler("worker_refused", channel="*")
     def _on_worker_refused(self, server: InstanceId, refused: Refused) -> None:
         now = time.monotonic()
-        traced = trace.told_refused(server, refused) if self.recorder else {}
+        traced = trace.refusal_input(server, refused) if self.recorder else {}
         self._carry_out(now, traced, decisions.on_refused(self.core, server, refused, now))
 
     @handler("worker_silent", channel="*")
@@ -244,12 +244,14 @@
     @handler("peer_heard", channel="*")
     def _on_peer_heard(self, frame: Frame) -> None:
         match frame.message:
-            case Heartbeat() as beat:
-                self._on_heartbeat(beat)
-            case HandoverNote() as note:
+            case Heartbeat() as heartbeat:
+                self._on_heartbeat(heartbeat)
+            case HandoverMessage() as note:
                 now = time.monotonic()
                 traced = {"kind": "handover", **note._asdict()}
-                actions = tenure.on_handover(self.core, note.server, note.epoch, note.busy, now)
+                actions = ownership_transfer.on_handover(
+                    self.core, note.server, note.epoch, note.busy, now
+                )
                 self._carry_out(now, traced, actions)
             case Query() as query:
                 self._answer(frame.sender, query)
@@ -260,13 +262,13 @@
             case _:
                 pass
 
-    def _on_heartbeat(self, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
         now = time.monotonic()
-        self._trace_input(now, trace.told_beat(beat) if self.recorder else {})
-        if not decisions.on_heartbeat(self.core, beat, now):
+        self._trace_input(now, trace.heartbeat_input(heartbeat) if self.recorder else {})
+        if not decisions.on_heartbeat(self.core, heartbeat, now):
             return
-        if beat.config_version > self.config.version:
-            self.ask(beat.sender, WHAT_CONFIG, "", self._on_config_answer)
+        if heartbeat.config_version > self.config.version:
+            self.ask(heartbeat.sender, WHAT_CONFIG, "", self._on_config_answer)
 
     def _on_config_answer(self, text: str | None) -> None:
         if text is None:
@@ -282,13 +284,13 @@
 
     def _send_heartbeat(self, all_zones: bool) -> None:
         self._seq += 1
-        beat = self._heartbeat(time.monotonic())
+        heartbeat = self._heartbeat(time.monotonic())
         near: list[InstanceId] = []
         far: list[InstanceId] = []
         for instance in membership.other_entries(self.core.members):
             same_zone = instance.availability_zone == self.core.members.zone
             (near if same_zone else far).append(instance.id)
-        self.peers.tell_many(near + (far if all_zones else []), beat)
+        self.peers.broadcast(near + (far if all_zones else []), heartbeat)
 
     def _far_ratio(self) -> float:
         members = self.core.policy.membership
@@ -306,28 +308,30 @@
             ready=self.ready,
             config_version=self.config.version,
             ledger_offset=self.core.ledger.offset,
-            log_ok=self.core.situation(now).log_ok,
+            log_ok=self.core.log_status(now).log_ok,
             servers=self.core.server_status(self.free_slots, self.latency_s),
             echoes=membership.echoes(members, now),
         )
 
     def _publish_learned(self) -> None:
         """Publish the learned estimates to the peers, so that no successor starts without them."""
-        text = json.dumps(self.core.learnt.tell(time.monotonic()))
+        text = json.dumps(self.core.interference_model.snapshot(time.monotonic()))
         peers = [entry.id for entry in membership.other_entries(self.core.members)]
-        self.peers.tell_many(peers, Query(0, WHAT_LEARNED, text))
+        self.peers.broadcast(peers, Query(0, WHAT_LEARNED, text))
 
     def _merge_learned(self, text: str) -> str:
         pairs, uses = json.loads(text)
-        lesson = Lesson([Told(*pair) for pair in pairs], [ToldUse(*use) for use in uses])
-        self.core.learnt.hear(lesson, time.monotonic())
+        lesson = ModelSnapshot(
+            [PairEstimate(*pair) for pair in pairs], [ClassUseEstimate(*use) for use in uses]
+        )
+        self.core.interference_model.merge_snapshot(lesson, time.monotonic())
         return ""
 
     def ask(self, to: InstanceId, what: str, text: str, done: Callable[[str | None], None]) -> None:
         """Query the peer `to`; call `done` with JSON text, or with None if no answer arrives."""
         self._query_count += 1
         number = self._query_count
-        if not self.peers.tell(to, Query(number, what, text)):
+        if not self.peers.send(to, Query(number, what, text)):
             done(None)
             return
         self._queries[number] = done
@@ -345,18 +349,18 @@
             return
         text = responder(query.text)
         if text:
-            self.peers.tell(peer, Answer(query.number, text))
+            self.peers.send(peer, Answer(query.number, text))
 
     def _query_state(self, now: float) -> None:
         """While the log cannot be read, request the ledger of a peer that is ahead."""
-        if self.core.situation(now).log_ok or now - self._state_asked_at < _STATE_QUERY_INTERVAL_S:
+        if self.core.log_status(now).log_ok or now - self._state_asked_at < _STATE_QUERY_INTERVAL_S:
             return
         ahead = [
-            peer.beat
+            peer.heartbeat
             for peer in self.core.members.peers.values()
-            if membership.is_alive(self.core.members, peer.beat.sender, self.core.policy, now)
-            and (peer.beat.ledger_offset > self.core.ledger.offset or not self._caught_up)
-            and peer.beat.ready
+            if membership.is_alive(self.core.members, peer.heartbeat.sender, self.core.policy, now)
+            and (peer.heartbeat.ledger_offset > self.core.ledger.offset or not self._caught_up)
+            and peer.heartbeat.ready
         ]
         best = self._state_source.pick(ahead)
         if best is None:
@@ -365,7 +369,7 @@
         self.ask(best.sender, WHAT_STATE, "", partial(self._on_state_answer, best.sender))
 
     def _on_state_answer(self, peer: InstanceId, text: str | None) -> None:
-        self._state_source.answered(peer, text is not None)
+        self._state_source.record_answer(peer, text is not None)
         snapshot = parse_snapshot(json.loads(text)) if text else None
         if snapshot is None:
             return
@@ -379,7 +383,7 @@
     def _write_snapshot_if_due(self) -> None:
         now = time.monotonic()
         period_s = min(_MAX_SNAPSHOT_INTERVAL_S, self.log_link.retention_s / 4)
-        if now - self._snapshot_at < period_s or not self.core.situation(now).log_ok:
+        if now - self._snapshot_at < period_s or not self.core.log_status(now).log_ok:
             return
         if not self.ready or not self.core.ledger.offset:
             return
--- a/spoolcrank/core.py
+++ b/spoolcrank/core.py
@@ -9,11 +9,11 @@
 from spoolcrank import (
     assignment,
     interference,
-    ladder,
     membership,
+    mitigation,
     ownership,
+    ownership_transfer,
     servers,
-    tenure,
 )
 from spoolcrank.ids import InstanceId, TaskId
 from spoolcrank.jobs import TaskState
@@ -25,19 +25,19 @@
 from spoolcrank.records import AnyRecord, Claimed, Ended, Entry, Placed
 from spoolcrank.resources import Resources
 from spoolcrank.server_commands import evict, throttle
-from spoolcrank.slot_use import all_busy, seen
-from spoolcrank.state import Core, CoreAction, Note, Relinquished, can_act
+from spoolcrank.slot_use import assume_all_busy, record_busy
+from spoolcrank.state import Core, CoreAction, LogEvent, Relinquished, can_act
 from spoolcrank.worker import Refused, Report
 
 _MAX_TICK_GAP_S = 1.0
 _MAX_DRAIN_EVICTIONS = 4
 
 
-def on_heartbeat(core: Core, beat: Heartbeat, now: float) -> bool:
+def on_heartbeat(core: Core, heartbeat: Heartbeat, now: float) -> bool:
     """Handle a peer's heartbeat; return False for an outdated or repeated one."""
-    for status in beat.servers:
+    for status in heartbeat.servers:
         core.owned_elsewhere_at[status.server] = now
-    return membership.on_heartbeat(core.members, beat, now)
+    return membership.on_heartbeat(core.members, heartbeat, now)
 
 
 def on_log_read(core: Core, asked_at: float) -> None:
@@ -58,9 +58,9 @@
     if isinstance(record, Placed):
         return _on_placed(core, record, took_effect, now)
     if isinstance(record, Ended) and took_effect:
-        core.learnt.on_end(record.server, record.how)
+        core.interference_model.on_end(record.server, record.how)
     if isinstance(record, Claimed) and took_effect:
-        return tenure.on_claimed(core, record, replaced, now)
+        return ownership_transfer.on_claimed(core, record, replaced, now)
     return []
 
 
@@ -95,9 +95,11 @@
     owned = core.owned.get(server)
     if owned is None or report.epoch != owned.epoch or not can_act(core, now):
         return []
-    core.learnt.on_usage(report.usage, partial(_allocated, core))
-    situation = core.situation(now)
-    return list(servers.on_report(owned, report, sent_at, core.ledger, situation, core.policy, now))
+    core.interference_model.on_usage(report.usage, partial(_allocated, core))
+    log_status = core.log_status(now)
+    return list(
+        servers.on_report(owned, report, sent_at, core.ledger, log_status, core.policy, now)
+    )
 
 
 def _allocated(core: Core, task: TaskId) -> Resources | None:
@@ -112,7 +114,7 @@
         return []
     del core.owned[server]
     core.relinquished[server] = Relinquished(refused.epoch, now)
-    return [Note("ownership.superseded", {"server": server, "by": refused.owner})]
+    return [LogEvent("ownership.superseded", {"server": server, "by": refused.owner})]
 
 
 def on_silence(core: Core, server: InstanceId, now: float) -> None:
@@ -135,13 +137,13 @@
     if not can_act(core, now):
         return actions
     if not core.stopping:
-        actions += tenure.take_vacant(core, now)
-        actions += tenure.confirm_claims(core, now)
-        actions += tenure.rebalance(core, now)
+        actions += ownership_transfer.take_vacant(core, now)
+        actions += ownership_transfer.confirm_claims(core, now)
+        actions += ownership_transfer.rebalance(core, now)
     for owned in list(core.owned.values()):
         actions += servers.poll(owned, core.ledger, core.policy, now)
         actions += _recover(core, owned, now)
-    if core.situation(now).log_ok and not core.stopping:
+    if core.log_status(now).log_ok and not core.stopping:
         actions += assignment.refuse_impossible(core, now, wall)
         actions += assignment.place(core, now, wall)
     return actions
@@ -153,8 +155,8 @@
         instance = core.members.listed.get(owned.server)
         if instance is None or not instance.service:
             continue
-        use = owned.runner_use or all_busy(instance.slots, now)
-        owned.runner_use = seen(use, core.busy_slots(owned.server), now)
+        use = owned.runner_use or assume_all_busy(instance.slots, now)
+        owned.runner_use = record_busy(use, core.busy_slots(owned.server), now)
 
 
 def _update_acting(core: Core, now: float) -> list[CoreAction]:
@@ -165,11 +167,11 @@
         if not core.acting:
             core.acting = True
             _readopt_all(core, now)
-            return [Note("acting.begun", {})]
+            return [LogEvent("acting.begun", {})]
         return []
     was_acting = core.acting
     core.acting = False
-    return [Note("acting.ended", {"paused": str(paused)})] if was_acting else []
+    return [LogEvent("acting.ended", {"paused": str(paused)})] if was_acting else []
 
 
 def _readopt_all(core: Core, now: float) -> None:
@@ -183,17 +185,17 @@
 
 
 def _recover(core: Core, owned: OwnedServer, now: float) -> list[CoreAction]:
-    situation = core.situation(now)
+    log_status = core.log_status(now)
     actions: list[CoreAction] = []
     if owned.phase is Phase.READY:
         if ownership.drained(core.members, core.ledger, owned.server):
             actions += _evict_for_drain(owned, core.policy, now)
         else:
-            if core.learnt.level(owned.server) is interference.Level.OPEN:
-                actions += servers.resume_here(owned, core.ledger, situation, core.policy, now)
+            if core.interference_model.level(owned.server) is interference.Level.OPEN:
+                actions += servers.resume_here(owned, core.ledger, log_status, core.policy, now)
             actions += _apply_mitigation(core, owned, now)
         return actions
-    if not situation.log_ok:
+    if not log_status.log_ok:
         return []
     contacted = owned.contacted_at is not None
     elsewhere_at = core.owned_elsewhere_at.get(owned.server, float("-inf"))
@@ -209,8 +211,8 @@
     if instance is None or owned.report is None or owned.waiting or not instance.service:
         return []
     actions: list[CoreAction] = []
-    steps = ladder.step(
-        core.learnt,
+    steps = mitigation.step(
+        core.interference_model,
         owned.server,
         instance.service,
         instance.kind,
@@ -224,10 +226,10 @@
             case interference.ThrottleTask(task, attempt, share):
                 actions.append(throttle(owned, task, attempt, share, core.policy, now))
                 name = "interference.throttled" if share < 1 else "interference.released"
-                actions.append(Note(name, {"task": task, "share": f"{share:.2f}"}))
+                actions.append(LogEvent(name, {"task": task, "share": f"{share:.2f}"}))
             case interference.EvictTask(task, attempt):
                 actions.append(evict(owned, task, attempt, core.policy, now))
-                actions.append(Note("interference.evicted", {"task": task}))
+                actions.append(LogEvent("interference.evicted", {"task": task}))
     return actions
 
 
@@ -259,7 +261,7 @@
     for server, owned in list(core.owned.items()):
         if ledger.epoch(server) > owned.epoch and not _is_mine(core, server):
             del core.owned[server]
-    return tenure.own_claimed(core, now)
+    return ownership_transfer.own_claimed(core, now)
 
 
 def _is_open(ledger: Ledger, record: Placed) -> bool:
--- a/spoolcrank/crash_record.py
+++ b/spoolcrank/crash_history.py
@@ -13,7 +13,7 @@
 
 from spoolcrank.ids import Address
 from spoolcrank.job_state import JobState, TaskState
-from spoolcrank.workflow import CrashMark, RunnerId, StepKey, TaskKey
+from spoolcrank.workflow import CrashEvidence, RunnerId, StepKey, TaskKey
 
 MAX_CRASHES_PER_TASK = 6
 """Maximum number of crashes stored for one task, the newest; five are enough to give it up."""
@@ -55,7 +55,7 @@
 each runner crashes every 20 s, as in a period of frequent ordinary crashes. Too low a rate gives
 up sound work, too high a rate costs one start."""
 
-APART_AFTER = 2
+ISOLATE_AFTER_CRASHES = 2
 """Number of crashes after which a task is isolated. Isolation after the first one would stop
 more sound work than it saves, as most tasks on a runner that crashes are sound."""
 
@@ -69,7 +69,7 @@
 runners crashed to clear its task: well past that age, even at half the pace."""
 
 
-class Fall(NamedTuple):
+class RunnerFailure(NamedTuple):
     """Failure of a runner: the runner, its groups and the time span in which it failed.
 
     Attributes:
@@ -112,14 +112,14 @@
     tasks: frozenset[TaskKey]
 
 
-class Doubt(NamedTuple):
+class UnconfirmedCrash(NamedTuple):
     """Runner that may have crashed: its address has not answered since."""
 
     address: Address
     tasks: tuple[TaskKey, ...]
 
 
-class CrashRecord:
+class CrashHistory:
     """Crashes known to one leader, besides the stored evidence of the tasks.
 
     The history is limited in age and in number.
@@ -134,11 +134,11 @@
     def __init__(self, now: float) -> None:
         self._since = now
         self._crashes: deque[Crash] = deque()
-        self.unconfirmed: dict[RunnerId, Doubt] = {}
-        self.recent_failures: deque[Fall] = deque()
+        self.unconfirmed: dict[RunnerId, UnconfirmedCrash] = {}
+        self.recent_failures: deque[RunnerFailure] = deque()
         self.common_causes: deque[CommonCause] = deque()
 
-    def record_failure(self, failure: Fall, now: float) -> None:
+    def record_failure(self, failure: RunnerFailure, now: float) -> None:
         """Record the failure of a runner and drop failures and causes older than CRASH_WINDOW_S."""
         self.recent_failures.append(failure)
         while (
@@ -190,7 +190,7 @@
         """Record that a runner may have crashed under some tasks."""
         present = self.unconfirmed.get(runner)
         known = present.tasks if present is not None else ()
-        self.unconfirmed[runner] = Doubt(address, (*known, *tasks))
+        self.unconfirmed[runner] = UnconfirmedCrash(address, (*known, *tasks))
         while len(self.unconfirmed) > MAX_UNCONFIRMED_CRASHES:
             del self.unconfirmed[next(iter(self.unconfirmed))]
 
@@ -203,7 +203,9 @@
                     yield TaskKey(job.id, number, step_number, index), task
 
 
-def with_mark(entries: Sequence[CrashMark], evidence: CrashMark) -> tuple[CrashMark, ...]:
+def with_evidence(
+    entries: Sequence[CrashEvidence], evidence: CrashEvidence
+) -> tuple[CrashEvidence, ...]:
     """Return the crash evidence with one more entry, at most one for each runner."""
     newest = [*(entry for entry in entries if entry.runner != evidence.runner), evidence]
     while len(newest) > MAX_CRASHES_PER_TASK:
@@ -211,29 +213,29 @@
     return tuple(newest)
 
 
-def own_marks(entries: Sequence[CrashMark]) -> list[CrashMark]:
+def independent_crashes(entries: Sequence[CrashEvidence]) -> list[CrashEvidence]:
     """Return the crashes that had no common cause with others."""
     return [entry for entry in entries if not entry.shared]
 
 
-def starts_apart(entries: Sequence[CrashMark]) -> bool:
+def needs_isolation(entries: Sequence[CrashEvidence]) -> bool:
     """Return whether the next run of a task needs a runner of its own."""
-    return len(own_marks(entries)) >= APART_AFTER
+    return len(independent_crashes(entries)) >= ISOLATE_AFTER_CRASHES
 
 
-def clears_after_s(entries: Sequence[CrashMark]) -> float:
+def clears_after_s(entries: Sequence[CrashEvidence]) -> float:
     """Return the lifetime, in seconds, at which a run clears its task of the crash evidence."""
     return OUTLIVE_FACTOR * max(entry.lived_ms for entry in entries) / 1000.0 + OUTLIVE_MARGIN_S
 
 
-def is_guilty(entries: Sequence[CrashMark], crashes_per_s: float) -> bool:
+def causes_crashes(entries: Sequence[CrashEvidence], crashes_per_s: float) -> bool:
     """Return whether the evidence proves that a task crashes runners.
 
     Args:
         entries: crash evidence of the task.
         crashes_per_s: crash rate of one runner, per second, without the task.
     """
-    own = own_marks(entries)
+    own = independent_crashes(entries)
     soon = [
         entry for entry in entries if entry.shared and 0 < entry.lived_ms <= SHARED_SOON_S * 1000.0
     ]
--- a/spoolcrank/gathering.py
+++ b/spoolcrank/debounce.py
@@ -9,21 +9,21 @@
 
 from spoolcrank._timers import Timers
 
-GATHER_S = 0.004
+MIN_DEBOUNCE_S = 0.004
 """Shortest delay between an event and the decision on it, seconds; one response time of the store.
 Events within this time are decided on and stored together."""
 
-GATHER_SHARE = 2.0
+DEBOUNCE_FACTOR = 2.0
 """Delay as a multiple of the duration of the last decision. Decisions then take a third of a busy
 leader's processor, and answers of runners are read between them. Over 270 runners under load, 226
 decisions a second took half of the leader's time (calls counted for 24 s)."""
 
-MOST_GATHER_S = 0.03
+MAX_DEBOUNCE_S = 0.03
 """Longest delay between an event and the decision on it, seconds. Two such delays in a chain of
 short steps are a twentieth of the time that the chain may take."""
 
 
-class Gathering:
+class Debouncer:
     """Scheduling of the next decision after events.
 
     Args:
@@ -45,8 +45,8 @@
         """Schedule a decision, unless one is scheduled already."""
         if not self._scheduled:
             self._scheduled = True
-            delay_s = min(MOST_GATHER_S, GATHER_SHARE * self._took_s)
-            self._timers.after(max(GATHER_S, delay_s), self.decide)
+            delay_s = min(MAX_DEBOUNCE_S, DEBOUNCE_FACTOR * self._took_s)
+            self._timers.after(max(MIN_DEBOUNCE_S, delay_s), self.decide)
 
     def decide(self) -> None:
         """Decide at once and measure how long the decision takes."""
--- a/spoolcrank/decisions.py
+++ b/spoolcrank/decisions.py
@@ -18,13 +18,13 @@
     config_version: int
 
 
-class Decisions:
+class DecisionHistory:
     """The most recent decisions about requests, limited in number."""
 
     def __init__(self) -> None:
         self._recent: deque[Decision] = deque(maxlen=_MAX_DECISIONS)
 
-    def keep(self, decision: Decision) -> None:
+    def add(self, decision: Decision) -> None:
         """Store a decision; the oldest one is dropped when the history is full."""
         self._recent.append(decision)
 
--- a/spoolcrank/reading.py
+++ b/spoolcrank/decoding.py
@@ -16,7 +16,7 @@
     """A malformed value; it is ignored and does not affect other values."""
 
 
-def reader(decode: Callable[Params, Value]) -> Callable[Params, Value]:
+def raises_unreadable(decode: Callable[Params, Value]) -> Callable[Params, Value]:
     """Wrap a decoder so that it raises Unreadable for every kind of malformed value."""
 
     def read(*args: Params.args, **kwargs: Params.kwargs) -> Value:
--- a/spoolcrank/demo.py
+++ b/spoolcrank/demo.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from spoolcrank import load, promises
+from spoolcrank import invariants, load
 from spoolcrank._runtime import Runtime
 from spoolcrank.entry import Entry
 from spoolcrank.fleet import Instance, Role
@@ -218,19 +218,23 @@
         ),
         _FINISH_TIMEOUT_S,
     )
-    breaches = promises.check(
-        [_journal(backend) for backend in fleet.backends], reports[0].seen, [jobs["premium-notice"]]
+    breaches = invariants.check(
+        [_journal(backend) for backend in fleet.backends],
+        reports[0].request_results,
+        [jobs["premium-notice"]],
     )
     _show_jobs(fleet, jobs, console)
     load.render(reports[0], console)
     _show_counters(fleet, console)
     if not finished:
         breaches.append(
-            promises.Breach("jobs finish", "a job did not reach its expected state in time")
+            invariants.Breach("jobs finish", "a job did not reach its expected state in time")
         )
-    if len(reports[0].answered) < 0.95 * len(reports[0].seen):
+    if len(reports[0].answered) < 0.95 * len(reports[0].request_results):
         breaches.append(
-            promises.Breach("services answer", "services answered fewer than 95 % of the requests")
+            invariants.Breach(
+                "services answer", "services answered fewer than 95 % of the requests"
+            )
         )
     for breach in breaches:
         console.print(f"violated: {breach.invariant}: {breach.detail}", style="red")
--- a/spoolcrank/dispatcher.py
+++ b/spoolcrank/dispatcher.py
@@ -10,39 +10,40 @@
 from functools import partial
 
 from spoolcrank._timers import Timers
-from spoolcrank.batching import batch_kept, order_starts, take_batch
+from spoolcrank.batching import on_batch_stored, order_starts, take_batch
 from spoolcrank.claiming import Claiming
-from spoolcrank.due_work import do_what_is_due
-from spoolcrank.gathering import Gathering
+from spoolcrank.debounce import Debouncer
+from spoolcrank.decoding import Unreadable
 from spoolcrank.ids import AvailabilityZone
 from spoolcrank.keyed_log import (
     LEADER_KEY,
-    LEADERS_OWN,
+    LEADER_ONLY_KINDS,
     KeyedLog,
     KeyedRecord,
     RecordKind,
     job_of_key,
     kind_of,
 )
-from spoolcrank.lead_watch import (
-    Blocked,
-    LeadWatch,
-    find_placing_block,
-    watch_placing,
-    watch_runners,
-)
 from spoolcrank.leader_writer import AppendTiming, LeaderWriter, PendingAppend
 from spoolcrank.leadership import NO_SUCCESSOR, SELF_FENCE_S, Leadership, decode_claim
+from spoolcrank.leadership_monitor import (
+    LeadershipMonitor,
+    PlacingBlock,
+    find_placing_block,
+    log_placing_block,
+    log_takeover_done,
+)
+from spoolcrank.log_event_groups import LOG_GROUP_INTERVAL_S, LogEventGroups
 from spoolcrank.log_follower import LogFollower
 from spoolcrank.mechanisms import Mechanism
-from spoolcrank.note_lines import LINES_EVERY_S, NoteLines
 from spoolcrank.order_sender import OrderSender
 from spoolcrank.orders import Order, OrderResult, Poll
+from spoolcrank.pending_writes import Batch
+from spoolcrank.periodic_work import run_periodic_work
 from spoolcrank.placing import place
 from spoolcrank.placing_pass import PlacingPass
 from spoolcrank.polling import polls_due
-from spoolcrank.preassignment import RECORDS_LATE_S, Preassignments
-from spoolcrank.reading import Unreadable
+from spoolcrank.preassignment import LATE_RECORD_S, Preassignments
 from spoolcrank.regrouping import Regrouping
 from spoolcrank.runner_directory import RunnerDirectory
 from spoolcrank.runner_listing import list_runners
@@ -57,7 +58,6 @@
     restore_state,
 )
 from spoolcrank.telemetry import Telemetry
-from spoolcrank.unkept import Batch
 from spoolcrank.workflow import RouteName, encode
 
 TICK_S = 0.1
@@ -97,20 +97,20 @@
         self._clock = clock
         self._time_of_day = time_of_day
         self._writer: LeaderWriter | None = None
-        self._log_groups = NoteLines()
+        self._log_groups = LogEventGroups()
         self._regrouping = Regrouping()
         self._preassignments = Preassignments()
         self._claiming = Claiming(leadership, log, follower, telemetry, clock)
         self._leaving = False
-        debouncer = Gathering(timers, clock, self._decide_now)
+        debouncer = Debouncer(timers, clock, self._decide_now)
         self._decide_soon, self._decide_at_once = debouncer.wake, debouncer.decide
         self._successor = NO_SUCCESSOR
-        self._monitor = LeadWatch(clock())
+        self._monitor = LeadershipMonitor(clock())
         self._on_resigned: Callable[[], None] | None = None
         self._evacuated_zones: frozenset[AvailabilityZone] = frozenset()
         self._routes: Mapping[RouteName, RoutePolicy] = {}
         timers.every(TICK_S, self._tick)
-        timers.every(LINES_EVERY_S, lambda: self._log_groups.write(telemetry.log, clock()))
+        timers.every(LOG_GROUP_INTERVAL_S, lambda: self._log_groups.write(telemetry.log, clock()))
 
     def set_routes(self, routes: Mapping[RouteName, RoutePolicy]) -> None:
         """Apply the queues of the current configuration and read the list of runners again."""
@@ -119,14 +119,14 @@
             self.scheduler.routes = dict(routes)
             self._reread_runners()
 
-    def empty_zones(self, zones: frozenset[AvailabilityZone]) -> None:
+    def evacuate_zones(self, zones: frozenset[AvailabilityZone]) -> None:
         """Set the availability zones in which the operator wants no further starts."""
         if zones == self._evacuated_zones:
             return
         self._evacuated_zones = zones
-        self._telemetry.log("zones-emptied", grave=True, zones=sorted(zones))
+        self._telemetry.log("zones-emptied", important=True, zones=sorted(zones))
         if self.scheduler is not None:
-            self.scheduler.empty_zones(zones)
+            self.scheduler.evacuate_zones(zones)
             self._decide_soon()
 
     def leave(self, done: Callable[[], None]) -> None:
@@ -157,7 +157,7 @@
         kind = kind_of(record.key)
         if kind is RecordKind.LEADER:
             self._on_claim(record, now)
-        elif kind in LEADERS_OWN:
+        elif kind in LEADER_ONLY_KINDS:
             if self.scheduler is None:
                 self.leadership.record_leader_write(now)
         elif kind is RecordKind.OFFER:
@@ -186,7 +186,7 @@
             return
         self._telemetry.log(
             "leader",
-            grave=True,
+            important=True,
             term=claim.term,
             leader=claim.instance,
             resigned=claim.resigned,
@@ -203,7 +203,7 @@
         if offer is None or self.scheduler is None or self._successor:
             return
         to, processors = offer.instance, offer.processors
-        self._telemetry.log("hands-over", grave=True, to=to, processors=processors)
+        self._telemetry.log("hands-over", important=True, to=to, processors=processors)
         self._successor = offer.incarnation
         self._decide_soon()
 
@@ -213,12 +213,12 @@
             self._log, self._timers, self._clock, term, self._on_writer_lost
         )
         self._regrouping = Regrouping()
-        self._monitor = LeadWatch(now)
+        self._monitor = LeadershipMonitor(now)
         self._successor = NO_SUCCESSOR
         scheduler = Scheduler(term, now, self.leadership.predecessor_wrote_at, self._lease_ms)
         scheduler.routes = dict(self._routes)
         scheduler.without = self._without
-        scheduler.empty_zones(self._evacuated_zones)
+        scheduler.evacuate_zones(self._evacuated_zones)
         self.scheduler = scheduler
         # Count the claim from when it was sent: successors count from when it was stored, and this
         # instance may read it back much later.
@@ -237,7 +237,7 @@
             return
         self._collect_log_events(self.scheduler)
         self._log_groups.write(self._telemetry.log, self._clock())
-        self._telemetry.log("stepped-down", grave=True, term=self.scheduler.term, why=why)
+        self._telemetry.log("stepped-down", important=True, term=self.scheduler.term, why=why)
         self.leadership.resign(self.scheduler.term, self._successor)
         self.scheduler = None
         self._follower.eager = False
@@ -261,7 +261,7 @@
                 self._claiming.claim_or_offer(now)
             return
         if self.leadership.may_extend(now):
-            due = partial(do_what_is_due, scheduler, self._preassignments, self._regrouping, now)
+            due = partial(run_periodic_work, scheduler, self._preassignments, self._regrouping, now)
             self._guard(scheduler, due)
         self._decide_at_once()
 
@@ -279,21 +279,21 @@
             decide()
         except Exception:
             # The state in memory may be wrong; the next leader builds its own from the records.
-            self._telemetry.log("internal-error", grave=True, trace=traceback.format_exc())
+            self._telemetry.log("internal-error", important=True, trace=traceback.format_exc())
             self._step_down("an internal error")
         self._sender.busy_s += self._clock() - started_at
 
     def _decide(self, scheduler: Scheduler) -> None:
         now = self._clock()
         listing, writer = self._runner_follower.copy, self._writer
-        overdue = writer is not None and writer.busy and now - writer.busy_since > RECORDS_LATE_S
+        overdue = writer is not None and writer.busy and now - writer.busy_since > LATE_RECORD_S
         if overdue and listing.loaded and not self._leaving:
             self._preassignments.start(scheduler, now)
         list_age_s, log_age_s = now - listing.read_at, now - self._follower.copy.read_at
         block = find_placing_block(self._leaving, listing.loaded, list_age_s, log_age_s)
-        watch_placing(self._monitor, scheduler, block, list_age_s, now)
-        watch_runners(self._monitor, scheduler, now)
-        if block is not Blocked.NONE:
+        log_placing_block(self._monitor, scheduler, block, list_age_s, now)
+        log_takeover_done(self._monitor, scheduler, now)
+        if block is not PlacingBlock.NONE:
             scheduler.placing = PlacingPass()
         elif not place(scheduler, now, self._time_of_day() * 1000.0):
             if not scheduler.starts.held_back:
@@ -314,7 +314,7 @@
         if batch is not None:
             self.leadership.wrote_at = now
             if not batch.records:
-                batch_kept(scheduler, batch, now)
+                on_batch_stored(scheduler, batch, now)
                 return
             append = Append(batch.records)
             then = partial(self._on_batch_stored, scheduler, batch)
@@ -358,7 +358,7 @@
                 then()
 
     def _on_batch_stored(self, scheduler: Scheduler, batch: Batch) -> None:
-        self._guard(scheduler, lambda: batch_kept(scheduler, batch, self._clock()))
+        self._guard(scheduler, lambda: on_batch_stored(scheduler, batch, self._clock()))
         self._decide_at_once()
 
     def _order(self, scheduler: Scheduler, now: float) -> None:
@@ -379,19 +379,19 @@
             self._decide_soon()
 
     def _collect_log_events(self, scheduler: Scheduler) -> None:
-        notes, scheduler.notes = scheduler.notes, []
-        self._log_groups.add_all(notes, self._clock())
+        log_events, scheduler.log_events = scheduler.log_events, []
+        self._log_groups.add_all(log_events, self._clock())
 
-    def on_runner_news(self, copy: KeyedLog) -> None:
+    def on_runner_entries(self, copy: KeyedLog) -> None:
         """Apply a change in the list of runners, if this instance leads."""
         scheduler = self.scheduler
         if scheduler is None or not copy.loaded:
             return
         listing = self._directory.read(copy)
-        regained_at, now = self._runner_follower.regained_at, self._clock()
-        self._guard(scheduler, lambda: list_runners(scheduler, listing, regained_at, now))
+        reconnected_at, now = self._runner_follower.reconnected_at, self._clock()
+        self._guard(scheduler, lambda: list_runners(scheduler, listing, reconnected_at, now))
         self._decide_soon()
 
     def _reread_runners(self) -> None:
         """Apply the list of runners again, because other services may be in use now."""
-        self.on_runner_news(self._runner_follower.copy)
+        self.on_runner_entries(self._runner_follower.copy)
--- a/spoolcrank/earlier_incarnations.py
+++ b/spoolcrank/earlier_incarnations.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 
 from spoolcrank.orders import Report, Target
-from spoolcrank.runner_ids import FENCES_A_TERM, knows_start
+from spoolcrank.runner_ids import FENCES_PER_TERM, knows_start
 from spoolcrank.runner_loss import lose_runner
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import Run, RunStage
@@ -24,13 +24,13 @@
     The entry of that incarnation may arrive later; until then nothing starts there, because its
     capacity is not known.
     """
-    asked.missed(now)
+    asked.record_no_answer(now)
     later = state.runners.get(answers)
     if later is None or later.gone:
-        later = state.meet(asked.entry._replace(id=answers), now, listed=False)
-        state.note("runner-restarted", runner=answers, before=asked.id, runs=len(asked.runs))
+        later = state.register(asked.entry._replace(id=answers), now, listed=False)
+        state.log_event("runner-restarted", runner=answers, before=asked.id, runs=len(asked.runs))
     # The incarnation has seen the fence of this order.
-    later.rank = max(later.rank, target.fence - state.term * FENCES_A_TERM)
+    later.rank = max(later.rank, target.fence - state.term * FENCES_PER_TERM)
     if not later.adopted:
         later.polled_at = -1.0
 
@@ -54,18 +54,18 @@
     runner: RunnerState,
     now: float,
 ) -> None:
-    state.note("run-taken-over", task=key, run=run.number, runner=runner.id, before=earlier.id)
-    isolated = earlier.apart_for == key
+    state.log_event("run-taken-over", task=key, run=run.number, runner=runner.id, before=earlier.id)
+    isolated = earlier.isolated_for == key
     earlier.remove(key)
     run.in_flight = False
     if run.stage is not RunStage.STOPPING:
-        run.stage = RunStage.UNSURE
+        run.stage = RunStage.UNCONFIRMED
         run.since = now
     runner.add(key, run)
     if isolated:
-        runner.apart_for, runner.apart_since = key, earlier.apart_since
+        runner.isolated_for, runner.isolated_since = key, earlier.isolated_since
     state.jobs[key.job].task(key).runner = runner.id
-    state.unkept.change(key.job)
+    state.pending_writes.add_changed_job(key.job)
 
 
 def lose_earlier(state: Scheduler, runner: RunnerState, now: float) -> None:
--- a/spoolcrank/entry.py
+++ b/spoolcrank/entry.py
@@ -10,7 +10,7 @@
 from spoolcrank.controller import Controller
 from spoolcrank.errors import ErrorKind, Refusal
 from spoolcrank.ids import Incarnation, unique
-from spoolcrank.instance_watch import InstanceWatch
+from spoolcrank.instance_poller import InstancePoller
 from spoolcrank.jobs_api import JobsApi, respond_not_found
 from spoolcrank.log_link import LogLink
 from spoolcrank.membership import Members
@@ -64,7 +64,7 @@
         self.operators = Operators(
             self.controller, self.jobs, self.callers.decisions, timers, self.metrics
         )
-        instance_poller = InstanceWatch(
+        instance_poller = InstancePoller(
             http, timers, address_of_url(settings.instances), self.metrics
         )
         instance_poller.register(runtime)
@@ -119,7 +119,7 @@
         def check_drained() -> None:
             # A request that arrived on an idle connection since the last check would be lost.
             self.web.close_idle()
-            busy = self.callers.under_way or self.log_link.pending_count or self.web.connections
+            busy = self.callers.unanswered or self.log_link.pending_count or self.web.connections
             if busy and time.monotonic() - drain_started_at < _MAX_DRAIN_S:
                 self._runtime.timers.after(_DRAIN_CHECK_INTERVAL_S, check_drained)
                 return
--- a/spoolcrank/exchanges.py
+++ b/spoolcrank/exchanges.py
@@ -15,7 +15,7 @@
 
 from spoolcrank.ids import ServiceName
 from spoolcrank.packing import open_cores
-from spoolcrank.runner_state import SERVING_USE, RunnerState
+from spoolcrank.runner_state import SERVING_USE_SHARE, RunnerState
 from spoolcrank.runs import Run, RunStage
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL, Demand, Phase, RunnerId, Step, TaskKey
@@ -165,7 +165,7 @@
     def _planned_runner(self, runner: RunnerState, now: float) -> _PlannedRunner:
         used = Demand(runner.used_millicores, runner.used_memory_mb, runner.used_accelerators)
         free = _add(runner.entry.room, used, -1)
-        for reservation in runner.promised.values():
+        for reservation in runner.reservations.values():
             free = _add(free, reservation.demand, -1)
         planned = _PlannedRunner(runner, free, open_cores(runner), Counter(runner.serving))
         for key, run in runner.runs.items():
@@ -200,7 +200,7 @@
 
     def _filler_capacity(self) -> float:
         return sum(
-            max(0.0, planned.idle) * self._contention.borne(frozenset(planned.images))
+            max(0.0, planned.idle) * self._contention.tolerated_share(frozenset(planned.images))
             for planned in self._planned_runners
         )
 
@@ -208,9 +208,13 @@
         """Return the share of fillers that only one of two images tolerates."""
         if first == second:
             return 0.0
-        borne = self._contention.borne
-        both = borne(frozenset((first, second)))
-        return borne(frozenset((first,))) + borne(frozenset((second,))) - 2.0 * both
+        tolerated_share = self._contention.tolerated_share
+        both = tolerated_share(frozenset((first, second)))
+        return (
+            tolerated_share(frozenset((first,)))
+            + tolerated_share(frozenset((second,)))
+            - 2.0 * both
+        )
 
     def _update_losses(self, planned: _PlannedRunner) -> None:
         """Compute the conflict of one more task of each image with those on the runner."""
@@ -314,7 +318,7 @@
         image, demand = task.run.image, task.run.demand
         for changed, sign in ((source, -1), (planned, 1)):
             changed.free = _add(changed.free, demand, -sign)
-            changed.idle -= sign * demand.millicores * SERVING_USE / 1000.0
+            changed.idle -= sign * demand.millicores * SERVING_USE_SHARE / 1000.0
             changed.steps[step] += sign
             changed.images[image] += sign
         source.tasks[image].remove(task)
--- a/spoolcrank/explain.py
+++ b/spoolcrank/explain.py
@@ -80,10 +80,10 @@
 def worker_rows(core: Core, now: float) -> list[Row]:
     """Return one row for each backend server, with its owner, epoch and free capacity."""
     statuses: dict[InstanceId, tuple[InstanceId, ServerStatus | None]] = {
-        status.server: (peer.beat.sender, status)
+        status.server: (peer.heartbeat.sender, status)
         for peer in core.members.peers.values()
-        if membership.is_alive(core.members, peer.beat.sender, core.policy, now)
-        for status in peer.beat.servers
+        if membership.is_alive(core.members, peer.heartbeat.sender, core.policy, now)
+        for status in peer.heartbeat.servers
     }
     for own_status in core.server_status(lambda server: 0):
         statuses[own_status.server] = (core.members.me, own_status)
@@ -131,8 +131,8 @@
                 row["config_version"] = core.config_version
                 row["servers"] = len(core.owned)
             elif peer is not None:
-                row["config_version"] = peer.beat.config_version
-                row["servers"] = len(peer.beat.servers)
+                row["config_version"] = peer.heartbeat.config_version
+                row["servers"] = len(peer.heartbeat.servers)
         rows.append(row)
     return rows
 
--- a/spoolcrank/filler_pace.py
+++ b/spoolcrank/filler_pace.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 from spoolcrank.orders import Pace
-from spoolcrank.packing import SMALL_EFFECT
+from spoolcrank.packing import NEGLIGIBLE_EFFECT
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import Run, RunStage
 from spoolcrank.scheduler import Scheduler
@@ -40,10 +40,10 @@
     elif run.slow_since is None:
         run.slow_since = now
     state.orders.append(Pace(state.target(runner), key, run.number, pace))
-    state.note("paced", task=key, run=run.number, runner=runner.id, percent=pace)
+    state.log_event("paced", task=key, run=run.number, runner=runner.id, percent=pace)
 
 
-def make_way(state: Scheduler, runner: RunnerState, image: str, now: float) -> None:
+def slow_fillers_for(state: Scheduler, runner: RunnerState, image: str, now: float) -> None:
     """Slow fillers down as the model predicts, before a serving task of an image starts running."""
     weight = state.contention.weight
     effects = [
@@ -56,5 +56,5 @@
         return
     for key, run, effect in effects:
         pace = max(MIN_PACE, int(run.pace * allowed / total_effect))
-        if effect > SMALL_EFFECT / 2 and pace < run.pace:
+        if effect > NEGLIGIBLE_EFFECT / 2 and pace < run.pace:
             order_pace(state, runner, key, run, pace, now)
--- a/spoolcrank/gangs.py
+++ b/spoolcrank/gangs.py
@@ -1,8 +1,8 @@
 """Place the tasks of a gang, which can only run all together."""
 
-from spoolcrank.apart import without_suspects
 from spoolcrank.binding import bind
-from spoolcrank.crash_record import own_marks
+from spoolcrank.crash_history import independent_crashes
+from spoolcrank.isolation import without_suspects
 from spoolcrank.job_state import NO_RUNNER, JobState, StepState
 from spoolcrank.packing import PlacementRequest, choose
 from spoolcrank.runner_state import RunnerState
@@ -30,7 +30,7 @@
     if step.tasks[0].not_before > now:
         return False
     pools = [runners]
-    if own_marks(step.tasks[0].crashes):
+    if independent_crashes(step.tasks[0].crashes):
         pools.insert(0, without_suspects(runners))
     return any(
         _place_members(state, job, round_number, number, step, pool, rack, run, now)
--- a/spoolcrank/instance_watch.py
+++ b/spoolcrank/instance_poller.py
@@ -14,7 +14,7 @@
 _REQUEST_TIMEOUT_S = 2.0
 
 
-class InstanceWatch(BaseComponent):
+class InstancePoller(BaseComponent):
     """Poll the instance list and fire `fleet_listed` whenever it changes."""
 
     channel = "instances"
--- a/spoolcrank/instance_stop.py
+++ b/spoolcrank/instance_stop.py
@@ -5,7 +5,7 @@
 from spoolcrank._timers import Timers
 from spoolcrank._web import WebServer
 from spoolcrank.job_intake import JobIntake
-from spoolcrank.open_requests import OpenRequests, given_up, tell_given_up
+from spoolcrank.open_requests import OpenRequests, given_up, log_given_up
 from spoolcrank.planned_stop import RemainingWork, StopState, StopTimes, next_state
 from spoolcrank.telemetry import Telemetry
 
@@ -87,7 +87,7 @@
     def _end(self) -> None:
         now = self._clock()
         requests = given_up(self._open_requests, self._web.unsent)
-        tell_given_up(requests, self._started_at, now, self._telemetry.log)
+        log_given_up(requests, self._started_at, now, self._telemetry.log)
         self._log("stop")
         self._telemetry.flush()
         self._finish()
@@ -95,7 +95,7 @@
     def _log(self, name: str, **fields: object) -> None:
         self._telemetry.log(
             name,
-            grave=True,
+            important=True,
             after_s=round(self._clock() - self._started_at, 2),
             unanswered=self._web.unanswered,
             connections=self._web.connections,
--- a/spoolcrank/interference.py
+++ b/spoolcrank/interference.py
@@ -49,7 +49,7 @@
     kind: str
 
 
-class Told(NamedTuple):
+class PairEstimate(NamedTuple):
     """A slowdown estimate as one instance sends it to another."""
 
     service: ServiceName
@@ -59,7 +59,7 @@
     age_s: float
 
 
-class ToldUse(NamedTuple):
+class ClassUseEstimate(NamedTuple):
     """The resource needs of a task class as one instance sends them to another."""
 
     task_class: TaskClass
@@ -68,11 +68,11 @@
     reports: int
 
 
-class Lesson(NamedTuple):
+class ModelSnapshot(NamedTuple):
     """Everything that one instance sends to another from its interference model."""
 
-    pairs: list[Told]
-    uses: list[ToldUse]
+    pairs: list[PairEstimate]
+    uses: list[ClassUseEstimate]
 
 
 class Estimate(NamedTuple):
@@ -117,7 +117,7 @@
     ended: float = 0.0
 
 
-class Trial(NamedTuple):
+class ThrottleTrial(NamedTuple):
     """The latency of a runner when its server's batch work was first throttled.
 
     Attributes:
@@ -133,7 +133,7 @@
     samples: int
 
 
-class Excuse(NamedTuple):
+class Exemption(NamedTuple):
     """Exemption of batch work that does not cause a latency, until a monotonic time."""
 
     recent_latency_s: float
@@ -141,7 +141,7 @@
 
 
 @dataclass
-class Watch:
+class LatencyMonitor:
     """The latency of one runner and the mitigation applied to its server."""
 
     recent_latency_s: float = 0.0
@@ -156,8 +156,8 @@
     slow_since: float | None = None
     slow_requests: float = 0.0
     slow_updated_at: float = 0.0
-    trial: Trial | None = None
-    exemption: Excuse | None = None
+    trial: ThrottleTrial | None = None
+    exemption: Exemption | None = None
 
     def slow_rate(self, now: float) -> float:
         """Return the recent rate of slow requests, per second."""
@@ -175,12 +175,12 @@
 
 
 @dataclass
-class Learnt:
+class InterferenceModel:
     """What an owner has learned from usage reports, latencies and ends of attempts."""
 
     uses: dict[TaskClass, ClassUse] = field(default_factory=dict)
     pairs: dict[Pair, Estimate] = field(default_factory=dict)
-    monitors: dict[InstanceId, Watch] = field(default_factory=dict)
+    monitors: dict[InstanceId, LatencyMonitor] = field(default_factory=dict)
     outcomes: dict[InstanceId, Outcomes] = field(default_factory=dict)
     probed_at: dict[InstanceId, float] = field(default_factory=dict)
     evicted_at: list[float] = field(default_factory=list)
@@ -206,7 +206,7 @@
 
     def on_latency(self, server: InstanceId, latency_s: float, now: float) -> None:
         """Record the latency of one request at one of our runners."""
-        monitor = self.monitors.setdefault(server, Watch(latency_s, latency_s))
+        monitor = self.monitors.setdefault(server, LatencyMonitor(latency_s, latency_s))
         monitor.samples += 1
         monitor.samples_since_lowering += 1
         monitor.recent_latency_s += _RECENT_WEIGHT * (latency_s - monitor.recent_latency_s)
@@ -287,19 +287,19 @@
         """Return whether a suspect server may be probed with another repeatable task now."""
         return now - self.probed_at.get(server, float("-inf")) >= _PROBE_INTERVAL_S
 
-    def tell(self, now: float) -> Lesson:
+    def snapshot(self, now: float) -> ModelSnapshot:
         """Return a snapshot of the model for peers, one of which may become our successor."""
         pairs = [
-            Told(*pair, estimate.slowdown, now - estimate.at)
+            PairEstimate(*pair, estimate.slowdown, now - estimate.at)
             for pair, estimate in self.pairs.items()
         ]
         uses = [
-            ToldUse(name, use.processors, use.memory_mb, use.reports)
+            ClassUseEstimate(name, use.processors, use.memory_mb, use.reports)
             for name, use in self.uses.items()
         ]
-        return Lesson(pairs, uses)
+        return ModelSnapshot(pairs, uses)
 
-    def hear(self, lesson: Lesson, now: float) -> None:
+    def merge_snapshot(self, lesson: ModelSnapshot, now: float) -> None:
         """Merge a peer's snapshot: take its newer slowdowns and its larger uses."""
         for class_use in lesson.uses:
             use = self.uses.setdefault(class_use.task_class, ClassUse())
--- a/spoolcrank/apart.py
+++ b/spoolcrank/isolation.py
@@ -11,7 +11,7 @@
 
 from spoolcrank.job_state import TaskState
 from spoolcrank.packing import PlacementRequest, score
-from spoolcrank.runner_loss import SETTLED_S
+from spoolcrank.runner_loss import MIN_AGE_GAP_S
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import RunStage
 from spoolcrank.scheduler import Scheduler
@@ -43,7 +43,7 @@
     return [runner for runner in runners if not any(run.suspect for run in runner.runs.values())]
 
 
-def place_apart(
+def place_isolated(
     state: Scheduler,
     key: TaskKey,
     task: TaskState,
@@ -58,41 +58,41 @@
         runner = _choose(state, task, request, runners, waited_s, now)
         if runner is None:
             return None
-        runner.apart_for = key
-        runner.apart_since = now
-        state.note("suspect-apart", task=key, runner=runner.id, beside=len(runner.runs))
+        runner.isolated_for = key
+        runner.isolated_since = now
+        state.log_event("suspect-apart", task=key, runner=runner.id, beside=len(runner.runs))
     if (
-        runner.emptied
+        runner.evacuated
         or not runner.answers(now)
         or not score(request, request.step.demand, runner, state.contention, now)
     ):
-        runner.apart_for = None
+        runner.isolated_for = None
         return None
-    ready = _settled(runner, now) or now - runner.apart_since >= MAX_SETTLE_WAIT_S
+    ready = _settled(runner, now) or now - runner.isolated_since >= MAX_SETTLE_WAIT_S
     return runner if ready else None
 
 
-def waits_apart(task: TaskState, now: float) -> bool:
+def waits_for_isolation(task: TaskState, now: float) -> bool:
     """Return whether a suspect without an exclusive runner keeps waiting for one."""
     return _waited_s(task, now) < MAX_ISOLATION_WAIT_S
 
 
 def _waited_s(task: TaskState, now: float) -> float:
     """Return how long a suspect has waited, seconds; the first call starts the count."""
-    if task.apart_from is None:
-        task.apart_from = now
-    return now - task.apart_from
+    if task.isolation_wanted_since is None:
+        task.isolation_wanted_since = now
+    return now - task.isolation_wanted_since
 
 
 def _exclusive_runner(state: Scheduler, key: TaskKey) -> RunnerState | None:
-    return next((runner for runner in state.runners.values() if runner.apart_for == key), None)
+    return next((runner for runner in state.runners.values() if runner.isolated_for == key), None)
 
 
 def _all_in_use(state: Scheduler, runners: Sequence[RunnerState], waited_s: float) -> bool:
     runners_per_suspect = (
         RUNNERS_PER_SUSPECT if waited_s < LONG_WAIT_S else RUNNERS_PER_LATE_SUSPECT
     )
-    in_use = sum(1 for runner in state.runners.values() if runner.apart_for is not None)
+    in_use = sum(1 for runner in state.runners.values() if runner.isolated_for is not None)
     return in_use >= max(1, (len(runners) + in_use) // runners_per_suspect)
 
 
@@ -131,22 +131,22 @@
     return all(
         run.stage is RunStage.RUNNING
         and run.ordered_at is not None
-        and now - run.ordered_at >= SETTLED_S
+        and now - run.ordered_at >= MIN_AGE_GAP_S
         for run in runner.runs.values()
     )
 
 
-def reopen(state: Scheduler, runner: RunnerState, now: float) -> None:
+def end_isolation(state: Scheduler, runner: RunnerState, now: float) -> None:
     """End the isolation of a runner once its suspect no longer needs it."""
-    key = runner.apart_for
+    key = runner.isolated_for
     if key is None:
         return
     run = runner.runs.get(key)
     if run is not None:
         if run.ordered_at is not None and now - run.ordered_at >= ISOLATION_S:
-            runner.apart_for = None
+            runner.isolated_for = None
         return
     job = state.jobs.get(key.job)
     waiting = job is not None and job.has(key) and job.task(key).phase is Phase.WAITING
-    if not waiting or now - runner.apart_since >= ISOLATION_S:
-        runner.apart_for = None
+    if not waiting or now - runner.isolated_since >= ISOLATION_S:
+        runner.isolated_for = None
--- a/spoolcrank/job_index.py
+++ b/spoolcrank/job_index.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from spoolcrank.decoding import Unreadable
 from spoolcrank.ids import JobId
 from spoolcrank.keyed_log import KeyedRecord, RecordKind, job_of_key, kind_of
-from spoolcrank.reading import Unreadable
 from spoolcrank.workflow import FINAL, JobPhase, RouteName, decode_job, stored_phase
 
 
@@ -34,7 +34,7 @@
         self._on_unreadable = on_unreadable
         self._jobs: dict[JobId, _JobStatus] = {}
 
-    def take(self, record: KeyedRecord) -> None:
+    def apply_record(self, record: KeyedRecord) -> None:
         """Apply one record; applying it again has no effect."""
         kind = kind_of(record.key)
         if kind not in (RecordKind.JOB, RecordKind.CANCEL, RecordKind.PROGRESS):
--- a/spoolcrank/job_intake.py
+++ b/spoolcrank/job_intake.py
@@ -16,7 +16,7 @@
 from spoolcrank.job_index import JobIndex
 from spoolcrank.keyed_log import KeyedRecord, cancel_key, job_key
 from spoolcrank.log_follower import LogFollower
-from spoolcrank.store_port import CALL_S, Append, Appended, AppendOutcome, LogPort
+from spoolcrank.store_port import CALL_TIMEOUT_S, Append, Appended, AppendOutcome, LogPort
 from spoolcrank.workflow import FINAL, JobPhase, JobRecord, RouteName, encode
 
 Answer = TypeVar("Answer")
@@ -36,19 +36,19 @@
 """The time without an answer to an append after which new jobs are refused unsent, seconds: they
 would only wait behind that append. A slow store answers in 0.4 s."""
 
-UNSURE_S = 1.8
+APPEND_TIMEOUT_S = 1.8
 """The time limit for the outcome of a record that may be on the log, after which it is reported as
 unknown, seconds: two calls, the pause between them and 0.1 s for a delayed event loop."""
 
-MAX_SEND_AGE_S = UNSURE_S - CALL_S
+MAX_SEND_AGE_S = APPEND_TIMEOUT_S - CALL_TIMEOUT_S
 """The age up to which a record may be sent, seconds: the answer to a later call could come after
 `APPEND_TIMEOUT_S`."""
 
-READ_S = 1.8
+READ_TIMEOUT_S = 1.8
 """The time limit for a query that needs the store, seconds: the call already in flight, the query's
 own call, and 0.2 s for the parts of a long answer."""
 
-LONGEST_ANSWER_S = max(UNSURE_S, READ_S)
+MAX_ANSWER_S = max(APPEND_TIMEOUT_S, READ_TIMEOUT_S)
 """The time limit for the answer to anything passed to the store, seconds; a planned stop relies on
 it. Once intake has ended, a cancel request whose job had to be read first is no longer sent."""
 
@@ -66,8 +66,8 @@
 class IntakeOutcome(Enum):
     """The outcome of a record that a client asked to store."""
 
-    KEPT = "kept"
-    NOT_KEPT = "not-kept"
+    STORED = "kept"
+    NOT_STORED = "not-kept"
     UNKNOWN = "unknown"
     LEAVING = "leaving"
 
@@ -109,13 +109,13 @@
     def submit(self, job: JobId, record: JobRecord, done: Callable[[IntakeOutcome], None]) -> None:
         """Store a job; submitting the same id again refers to the same job."""
         if self._index.phase(job) is not None:
-            done(IntakeOutcome.KEPT)
+            done(IntakeOutcome.STORED)
             return
         if self._ended:
             done(IntakeOutcome.LEAVING)
             return
         if not self._follower.contact or self._is_stalled():
-            done(IntakeOutcome.NOT_KEPT)
+            done(IntakeOutcome.NOT_STORED)
             return
         self._store(KeyedRecord(job_key(job), encode(record)), done)
 
@@ -126,7 +126,7 @@
             if isinstance(phase, ErrorKind):
                 done(phase)
             elif phase in FINAL:
-                done(IntakeOutcome.KEPT)
+                done(IntakeOutcome.STORED)
             elif self._ended:
                 done(IntakeOutcome.LEAVING)
             else:
@@ -187,7 +187,7 @@
                 reported = True
                 done(answer)
 
-        self._timers.after(READ_S, lambda: report(ErrorKind.LOG_UNAVAILABLE))
+        self._timers.after(READ_TIMEOUT_S, lambda: report(ErrorKind.LOG_UNAVAILABLE))
         return report
 
     def _is_stalled(self) -> bool:
@@ -220,17 +220,17 @@
 
     def _on_appended(self, batch: list[_Pending], appended: Appended) -> None:
         self._append_in_flight = False
-        if appended.outcome is AppendOutcome.KEPT:
+        if appended.outcome is AppendOutcome.STORED:
             for position, pending in enumerate(batch):
                 record = pending.record._replace(offset=appended.offset + position)
                 self._follower.copy.apply(record)
-                self._index.take(record)
-                pending.done(IntakeOutcome.KEPT)
+                self._index.apply_record(record)
+                pending.done(IntakeOutcome.STORED)
         else:
             self._try_again(batch, appended)
         if self._pending and not self._send_scheduled:
             self._send_scheduled = True
-            delay_s = BATCH_DELAY_S if appended.outcome is AppendOutcome.KEPT else RETRY_DELAY_S
+            delay_s = BATCH_DELAY_S if appended.outcome is AppendOutcome.STORED else RETRY_DELAY_S
             self._timers.after(delay_s, self._send)
 
     def _try_again(self, batch: list[_Pending], appended: Appended) -> None:
@@ -255,4 +255,4 @@
 
 
 def _fail(pending: _Pending) -> None:
-    pending.done(IntakeOutcome.UNKNOWN if pending.unconfirmed else IntakeOutcome.NOT_KEPT)
+    pending.done(IntakeOutcome.UNKNOWN if pending.unconfirmed else IntakeOutcome.NOT_STORED)
--- a/spoolcrank/job_state.py
+++ b/spoolcrank/job_state.py
@@ -4,19 +4,19 @@
 from dataclasses import dataclass, field
 
 from spoolcrank.contention import StepLoad
+from spoolcrank.decoding import Unreadable
 from spoolcrank.ids import JobId
-from spoolcrank.reading import Unreadable
 from spoolcrank.workflow import (
-    CrashMark,
+    CrashEvidence,
     JobPhase,
     JobRecord,
     Phase,
     Progress,
     RunnerId,
     Step,
-    StepMark,
+    StoredStep,
+    StoredTask,
     TaskKey,
-    TaskMark,
 )
 
 NO_RUNNER = RunnerId("")
@@ -50,17 +50,17 @@
     runner: RunnerId = NO_RUNNER
     saved: str = ""
     failures: int = 0
-    crashes: tuple[CrashMark, ...] = ()
-    unheard: int = 0
+    crashes: tuple[CrashEvidence, ...] = ()
+    abandoned_run: int = 0
     refused_by: RunnerId = NO_RUNNER
-    odd_ends: int = 0
-    odd_on: tuple[RunnerId, ...] = ()
+    abnormal_ends: int = 0
+    abnormal_end_runners: tuple[RunnerId, ...] = ()
     not_before: float = 0.0
-    apart_from: float | None = None
+    isolation_wanted_since: float | None = None
     wanted: RunnerId = NO_RUNNER
     wanted_until: float = 0.0
     preassigned: RunnerId = NO_RUNNER
-    preassigned_kept: bool = False
+    preassigned_stored: bool = False
 
     @property
     def needs_no_record(self) -> bool:
@@ -190,7 +190,7 @@
         for round_state in self.rounds.values():
             for step in round_state.steps:
                 for task in step.tasks:
-                    task.preassigned, task.preassigned_kept = NO_RUNNER, False
+                    task.preassigned, task.preassigned_stored = NO_RUNNER, False
 
     def open_round(self, number: int) -> RoundState:
         """Return a round; create it if it is not open."""
@@ -279,26 +279,26 @@
                 _restore_task(step, stored_task)
 
 
-def _stored_step(number: int, step_number: int, step: StepState) -> StepMark | None:
+def _stored_step(number: int, step_number: int, step: StepState) -> StoredStep | None:
     if step.finished:
-        return StepMark(number, step_number, True)
+        return StoredStep(number, step_number, True)
     tasks = tuple(
         _stored_task(index, task)
         for index, task in enumerate(step.tasks)
         if not task.needs_no_record
     )
-    return StepMark(number, step_number, False, tasks) if tasks else None
+    return StoredStep(number, step_number, False, tasks) if tasks else None
 
 
-def _stored_task(index: int, task: TaskState) -> TaskMark:
+def _stored_task(index: int, task: TaskState) -> StoredTask:
     """Return the stored form of a task; a preassigned one is stored as bound to that runner."""
     phase, run, runner = task.phase, task.run, task.runner
     if phase is Phase.WAITING and task.preassigned != NO_RUNNER:
         phase, run, runner = Phase.BOUND, task.run + 1, task.preassigned
-    return TaskMark(index, phase.value, run, runner, task.saved, task.failures, task.crashes)
+    return StoredTask(index, phase.value, run, runner, task.saved, task.failures, task.crashes)
 
 
-def _restore_task(step: StepState, stored_task: TaskMark) -> None:
+def _restore_task(step: StepState, stored_task: StoredTask) -> None:
     task = step.tasks[stored_task.index]
     task.phase = Phase(stored_task.phase)
     task.run = stored_task.run
--- a/spoolcrank/job_times.py
+++ b/spoolcrank/job_times.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from spoolcrank.ids import JobId
+from spoolcrank.log_event_groups import split_by_task
 from spoolcrank.log_search import Line
-from spoolcrank.note_lines import singles
 from spoolcrank.workflow import TaskKey
 
 LEADER_EVENTS = frozenset({"job-read", "task-bound", "took-over"})
@@ -137,7 +137,7 @@
 def _record_line(jobs: dict[JobId, _Job], line: Line) -> None:
     fields = line.fields
     if "task" in fields or "step" in fields:
-        for single in singles(line.fields):
+        for single in split_by_task(line.fields):
             _record_task_line(jobs, _at_decision_time(line, single))
         return
     if "job" not in fields:
--- a/spoolcrank/jobs_api.py
+++ b/spoolcrank/jobs_api.py
@@ -83,7 +83,7 @@
 
         If that fails, the refusal says whether the record may still take effect.
         """
-        if not self._controller.core.situation(time.monotonic()).log_ok:
+        if not self._controller.core.log_status(time.monotonic()).log_ok:
             self.refuse(Refusal(ErrorKind.LOG_UNAVAILABLE, "the log is down", "", 1.0), reply)
             return
         done = False
--- a/spoolcrank/keyed_log.py
+++ b/spoolcrank/keyed_log.py
@@ -14,7 +14,7 @@
 _CANCEL = "c/"
 _PROGRESS = "p/"
 LEADER_KEY = "leader"
-LEARNT_KEY = "learnt"
+LEARNED_KEY = "learnt"
 OFFER_KEY = "offer"
 
 
@@ -25,16 +25,16 @@
     CANCEL = _CANCEL
     PROGRESS = _PROGRESS
     LEADER = LEADER_KEY
-    LEARNT = LEARNT_KEY
+    LEARNED = LEARNED_KEY
     OFFER = OFFER_KEY
 
 
-LEADERS_OWN = frozenset({RecordKind.PROGRESS, RecordKind.LEARNT})
+LEADER_ONLY_KINDS = frozenset({RecordKind.PROGRESS, RecordKind.LEARNED})
 """The kinds that only the leader writes. Each such record confirms a write from which the leader
 extends leases. If other instances did not count one, a successor would treat leases as expired up
 to one heartbeat too early."""
 
-_SINGLE_KEYS = frozenset({LEADER_KEY, LEARNT_KEY, OFFER_KEY})
+_SINGLE_KEYS = frozenset({LEADER_KEY, LEARNED_KEY, OFFER_KEY})
 
 
 class KeyedRecord(NamedTuple):
@@ -98,7 +98,7 @@
             self._listed.add(record.key)
         return page
 
-    def loaded_to(self, end: int) -> None:
+    def finish_load(self, end: int) -> None:
         """Mark the copy as complete up to `end`, the end of the log at the first page.
 
         Remove keys that were not listed and have no later record: the log no longer has them.
--- a/spoolcrank/keyed_requests.py
+++ b/spoolcrank/keyed_requests.py
@@ -78,7 +78,7 @@
             self._repeat(known, request, context.key, reply)
             return
         now = time.monotonic()
-        if not self._core.situation(now).log_ok:
+        if not self._core.log_status(now).log_ok:
             detail = "the log is down, so the idempotency key cannot be stored"
             self._refuse(request.id, Refusal(ErrorKind.LOG_UNAVAILABLE, detail, "", 1.0), reply)
             return
--- a/spoolcrank/leader_writer.py
+++ b/spoolcrank/leader_writer.py
@@ -89,11 +89,11 @@
         self._log.append(pending.append, on_answer)
 
     def _on_appended(self, pending: PendingAppend, timing: AppendTiming, result: Appended) -> None:
-        if result.outcome is AppendOutcome.KEPT:
+        if result.outcome is AppendOutcome.STORED:
             self.busy = False
             self.unanswered_since = None
             pending.on_stored(timing)
-        elif result.outcome in (AppendOutcome.NOT_KEPT, AppendOutcome.UNKNOWN):
+        elif result.outcome in (AppendOutcome.NOT_STORED, AppendOutcome.UNKNOWN):
             if self.unanswered_since is None:
                 self.unanswered_since = timing.first_at
             # An attempt that was certainly not stored does not affect the timing of the next one.
--- a/spoolcrank/leadership.py
+++ b/spoolcrank/leadership.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from spoolcrank.decoding import raises_unreadable
 from spoolcrank.ids import Incarnation, InstanceId
-from spoolcrank.reading import reader
 
 HEARTBEAT_S = 0.4
 """Interval at which a leader with nothing else to write stores a heartbeat, in seconds. It is a
@@ -77,7 +77,7 @@
     processors: float
 
 
-decode_offer = reader(msgspec.json.Decoder(Offer).decode)
+decode_offer = raises_unreadable(msgspec.json.Decoder(Offer).decode)
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
@@ -97,10 +97,10 @@
     incarnation: Incarnation = Incarnation("")
     resigned: bool = False
     processors: float = 0.0
-    heir: Incarnation = NO_SUCCESSOR
+    successor: Incarnation = NO_SUCCESSOR
 
 
-decode_claim = reader(msgspec.json.Decoder(Claim).decode)
+decode_claim = raises_unreadable(msgspec.json.Decoder(Claim).decode)
 
 
 class DueActions(NamedTuple):
@@ -230,7 +230,7 @@
     def _claim_delay_s(self) -> float:
         """Return how long the leader must be silent before this instance claims, in seconds."""
         claim = self.claim
-        if claim.resigned and claim.heir == self.incarnation:
+        if claim.resigned and claim.successor == self.incarnation:
             return 0.0
         if claim.instance == self.instance and claim.incarnation != self.incarnation:
             # The leader was an earlier process of this instance, so it no longer runs.
@@ -238,7 +238,7 @@
         delay_s = self._jitter_s
         if not claim.resigned and claim.term > 0:
             delay_s += LEADER_TIMEOUT_S
-        if claim.resigned and claim.heir:
+        if claim.resigned and claim.successor:
             delay_s += SUCCESSOR_HEAD_START_S
         if self._largest_processors >= self.processors * LARGER_INSTANCE_RATIO:
             delay_s += SMALLER_INSTANCE_DELAY_S
@@ -254,16 +254,16 @@
         due = led_s >= MIN_TERM_BEFORE_OFFER_S + self._offer_jitter_s
         return due and (self._offered_at < 0 or now - self._offered_at >= MIN_OFFER_INTERVAL_S)
 
-    def resign(self, term: int, heir: Incarnation = NO_SUCCESSOR) -> None:
+    def resign(self, term: int, successor: Incarnation = NO_SUCCESSOR) -> None:
         """Stop leading the term, even if its claim is read later; `successor` may claim first."""
         self._resigned_term = term
         if self.claim.term == term and self.claim.incarnation == self.incarnation:
-            self.claim = self.own_claim(resigned=True, heir=heir)
+            self.claim = self.own_claim(resigned=True, successor=successor)
 
-    def own_claim(self, resigned: bool, heir: Incarnation = NO_SUCCESSOR) -> Claim:
+    def own_claim(self, resigned: bool, successor: Incarnation = NO_SUCCESSOR) -> Claim:
         """Return the current claim as the leader writes it again."""
         return Claim(
-            self.claim.term, self.instance, self.incarnation, resigned, self.processors, heir
+            self.claim.term, self.instance, self.incarnation, resigned, self.processors, successor
         )
 
     def next_claim(self, now: float) -> Claim:
--- a/spoolcrank/lead_watch.py
+++ b/spoolcrank/leadership_monitor.py
@@ -19,7 +19,7 @@
 read of the log waits up to 0.7 s for new records."""
 
 
-class Blocked(Enum):
+class PlacingBlock(Enum):
     """Reason why a leader places nothing."""
 
     NONE = ""
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class LeadWatch:
+class LeadershipMonitor:
     """What was observed and logged in one term.
 
     Attributes:
@@ -43,43 +43,45 @@
 
     term_began_at: float
     all_runners_answered: bool = False
-    block: Blocked = Blocked.NONE
+    block: PlacingBlock = PlacingBlock.NONE
     block_since: float = 0.0
     block_logged: bool = False
 
 
-def find_placing_block(leaving: bool, loaded: bool, list_age_s: float, log_age_s: float) -> Blocked:
+def find_placing_block(
+    leaving: bool, loaded: bool, list_age_s: float, log_age_s: float
+) -> PlacingBlock:
     """Return why nothing may be placed now, judged by the ages of what was read."""
     if leaving:
-        return Blocked.LEAVING
+        return PlacingBlock.LEAVING
     if not loaded:
-        return Blocked.LIST_NOT_READ
+        return PlacingBlock.LIST_NOT_READ
     if list_age_s > MAX_LIST_AGE_S:
-        return Blocked.OLD_LIST
+        return PlacingBlock.OLD_LIST
     # A new leader may be far behind in the log and not have read cancellations yet.
-    return Blocked.OLD_LOG if log_age_s > MAX_LOG_AGE_S else Blocked.NONE
+    return PlacingBlock.OLD_LOG if log_age_s > MAX_LOG_AGE_S else PlacingBlock.NONE
 
 
-def watch_placing(
-    monitor: LeadWatch, state: Scheduler, block: Blocked, list_age_s: float, now: float
+def log_placing_block(
+    monitor: LeadershipMonitor, state: Scheduler, block: PlacingBlock, list_age_s: float, now: float
 ) -> None:
     """Record why nothing is placed; log it after BLOCK_LOG_DELAY_S, and log its end."""
     if block is not monitor.block:
         if monitor.block_logged:
-            state.note(
+            state.log_event(
                 "places-again", why=monitor.block.value, after_s=round(now - monitor.block_since, 2)
             )
         monitor.block, monitor.block_since, monitor.block_logged = block, now, False
     if (
-        block is not Blocked.NONE
+        block is not PlacingBlock.NONE
         and not monitor.block_logged
         and now - monitor.block_since >= BLOCK_LOG_DELAY_S
     ):
         monitor.block_logged = True
-        state.note("places-nothing", why=block.value, list_age_s=round(list_age_s, 2))
+        state.log_event("places-nothing", why=block.value, list_age_s=round(list_age_s, 2))
 
 
-def watch_runners(monitor: LeadWatch, state: Scheduler, now: float) -> None:
+def log_takeover_done(monitor: LeadershipMonitor, state: Scheduler, now: float) -> None:
     """Log once when every listed runner has answered this leader."""
     if monitor.all_runners_answered:
         return
@@ -89,4 +91,4 @@
     monitor.all_runners_answered = True
     runs = sum(len(runner.runs) for runner in listed)
     after_s = round(now - monitor.term_began_at, 2)
-    state.note("runners-taken-over", after_s=after_s, runners=len(listed), runs=runs)
+    state.log_event("runners-taken-over", after_s=after_s, runners=len(listed), runs=runs)
--- a/spoolcrank/learnt.py
+++ b/spoolcrank/learned_state.py
@@ -3,16 +3,16 @@
 import msgspec
 
 from spoolcrank.contention import StoredServingImage
-from spoolcrank.reading import reader
+from spoolcrank.decoding import raises_unreadable
 from spoolcrank.step_times import QueueTimes
 
 
-class Learnt(msgspec.Struct, frozen=True, array_like=True):
+class LearnedState(msgspec.Struct, frozen=True, array_like=True):
     """Stored state: weights of pairs of images, and times of the tasks of each queue."""
 
     images: tuple[StoredServingImage, ...] = ()
     times: tuple[QueueTimes, ...] = ()
 
 
-encode_learnt = msgspec.json.Encoder().encode
-decode_learnt = reader(msgspec.json.Decoder(Learnt).decode)
+encode_learned_state = msgspec.json.Encoder().encode
+decode_learned_state = raises_unreadable(msgspec.json.Decoder(LearnedState).decode)
--- a/spoolcrank/ledger.py
+++ b/spoolcrank/ledger.py
@@ -133,7 +133,7 @@
         for task in self.tasks.values():
             self._add_to_indexes(task)
 
-    def placed_at(self, server: InstanceId) -> list[Task]:
+    def tasks_on(self, server: InstanceId) -> list[Task]:
         """Return the tasks that are bound to `server` according to the log."""
         return [self.tasks[task] for task in self.by_server.get(server, {})]
 
--- a/spoolcrank/ledger_records.py
+++ b/spoolcrank/ledger_records.py
@@ -11,7 +11,7 @@
 )
 from spoolcrank.jobs import ENDED, JobClass, JobSpec, TaskState
 from spoolcrank.ledger import Claim, Drain, Job, Key, Ledger, Task, Verdict, Writer
-from spoolcrank.lost_tasks import is_guilty, pause_s, with_crash
+from spoolcrank.lost_tasks import causes_crashes, pause_s, with_crash
 from spoolcrank.records import (
     Claimed,
     DeclaredLost,
@@ -177,7 +177,7 @@
         return _next_state_non_repeatable(rec, reason)
     if rec.how == "failed" and not watcher and task.failures + 1 >= MAX_TASK_FAILURES:
         return TaskState.FAILED, f"failed {MAX_TASK_FAILURES} times, last on {rec.server}: {reason}"
-    if is_guilty(task.crashes):
+    if causes_crashes(task.crashes):
         servers = ", ".join(crash.server for crash in task.crashes)
         return TaskState.FAILED, f"given up: servers crash soon after they start it: {servers}"
     return TaskState.PENDING, f"attempt {rec.attempt} on {rec.server} {rec.how}"
@@ -300,7 +300,7 @@
 def _declare_lost(ledger: Ledger, rec: DeclaredLost, at: float) -> bool:
     if rec.command in ledger.verdicts:
         return False
-    tasks = ledger.placed_at(rec.server)
+    tasks = ledger.tasks_on(rec.server)
     for task in tasks:
         ended = Ended(
             task=task.id,
--- a/spoolcrank/load.py
+++ b/spoolcrank/load.py
@@ -75,19 +75,19 @@
     """The results of all requests and job submissions of one load."""
 
     def __init__(self) -> None:
-        self.seen: list[RequestResult] = []
+        self.request_results: list[RequestResult] = []
         self.jobs: list[str] = []
         self.jobs_refused = 0
 
     @property
     def answered(self) -> list[RequestResult]:
         """The results of the requests that the service answered."""
-        return [result for result in self.seen if result.outcome == "ok"]
+        return [result for result in self.request_results if result.outcome == "ok"]
 
     @property
     def broken(self) -> list[RequestResult]:
         """The results whose answer was incomplete or belonged to another request."""
-        return [result for result in self.seen if not result.whole]
+        return [result for result in self.request_results if not result.whole]
 
     def percentiles(self, urgent: bool | None = None) -> dict[str, float]:
         """Return the latency percentiles of the answered requests, in milliseconds.
@@ -102,12 +102,12 @@
 
     def outcomes(self) -> dict[str, int]:
         """Return the number of requests with each outcome."""
-        return dict(Counter(result.outcome for result in self.seen))
+        return dict(Counter(result.outcome for result in self.request_results))
 
     def summary(self) -> dict[str, Any]:
         """Return the report as plain JSON values."""
         return {
-            "requests": len(self.seen),
+            "requests": len(self.request_results),
             "answered": len(self.answered),
             "broken": len(self.broken),
             "outcomes": self.outcomes(),
@@ -134,7 +134,7 @@
                 time.sleep(0.05)
                 result = self._send(request)
             with self._lock:
-                self._report.seen.append(result)
+                self._report.request_results.append(result)
 
     def _may_retry(self, request: "_ScheduledRequest") -> bool:
         return time.time() - request.at < self._plan.deadline_ms / 1000
--- a/spoolcrank/note_lines.py
+++ b/spoolcrank/log_event_groups.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from spoolcrank.notes import GRAVE, Note
+from spoolcrank.log_events import IMPORTANT, LogEvent
 from spoolcrank.workflow import TaskKey
 
-LINES_EVERY_S = 0.5
+LOG_GROUP_INTERVAL_S = 0.5
 """Time over which log events are grouped into a line, in seconds; the line contains the age of
 each. With 0.1 s the ends of one step still got a line each: a leader of 270 runners dropped 26,571
 lines in a day."""
@@ -29,11 +29,11 @@
 class _TimedEvent(NamedTuple):
     """A log event, and when it occurred, monotonic seconds."""
 
-    event: Note
+    event: LogEvent
     at: float
 
 
-class NoteLines:
+class LogEventGroups:
     """Log events that wait to be written, in order for each task."""
 
     def __init__(self) -> None:
@@ -41,12 +41,12 @@
         self._closed_groups: list[list[_TimedEvent]] = []
         self._group_of: dict[TaskKey, _Group] = {}
 
-    def add_all(self, events: Iterable[Note], now: float) -> None:
+    def add_all(self, events: Iterable[LogEvent], now: float) -> None:
         """Add log events in their order."""
         for event in events:
             self.add(event, now)
 
-    def add(self, event: Note, now: float) -> None:
+    def add(self, event: LogEvent, now: float) -> None:
         """Add one log event; one without a task gets a line of its own."""
         task = event.fields.get("task")
         if not isinstance(task, TaskKey):
@@ -72,17 +72,17 @@
 
     def write(self, log: _Write, now: float) -> None:
         """Write the lines of all events added so far, and remove the events."""
-        for line in self.take(now):
-            log(line.name, grave=line.name in GRAVE, **line.fields)
+        for line in self.pop_lines(now):
+            log(line.name, important=line.name in IMPORTANT, **line.fields)
 
-    def take(self, now: float) -> list[Note]:
+    def pop_lines(self, now: float) -> list[LogEvent]:
         """Remove all events added so far and return their lines, the earliest first."""
         self._close()
         closed_groups, self._closed_groups = self._closed_groups, []
         return [_line(timed_events, now) for timed_events in closed_groups]
 
 
-def _group(event: Note, task: TaskKey) -> _Group:
+def _group(event: LogEvent, task: TaskKey) -> _Group:
     """Return what events must share to be in one line: the name, step and all text and flags."""
     words = tuple(
         (name, value)
@@ -92,12 +92,12 @@
     return (event.name, task.job, task.round, task.step, words)
 
 
-def _line(timed_events: list[_TimedEvent], now: float) -> Note:
+def _line(timed_events: list[_TimedEvent], now: float) -> LogEvent:
     ages_ms = [round((now - timed.at) * 1000.0) for timed in timed_events]
     events = [timed.event for timed in timed_events]
     first = events[0]
     if len(events) == 1:
-        return Note(first.name, {**first.fields, "ago_ms": ages_ms[0]})
+        return LogEvent(first.name, {**first.fields, "ago_ms": ages_ms[0]})
     task: TaskKey = first.fields["task"]
     fields: dict[str, Any] = {"step": [task.job, task.round, task.step]}
     for name, value in first.fields.items():
@@ -107,10 +107,10 @@
             fields[_PLURALS.get(name, name)] = [event.fields[name] for event in events]
         else:
             fields[name] = value
-    return Note(first.name, {**fields, "ago_ms": ages_ms})
+    return LogEvent(first.name, {**fields, "ago_ms": ages_ms})
 
 
-def singles(fields: dict[str, Any]) -> list[dict[str, Any]]:
+def split_by_task(fields: dict[str, Any]) -> list[dict[str, Any]]:
     """Return the fields of each event in a line, as if every task had a line of its own."""
     if "step" not in fields or "tasks" not in fields:
         return [fields]
--- a/spoolcrank/notes.py
+++ b/spoolcrank/log_events.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-GRAVE = frozenset(
+IMPORTANT = frozenset(
     {
         "start-refused",
         "stop-refused",
@@ -26,7 +26,7 @@
 """Names of log events that are dropped last when too many lines are logged."""
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """One decision to be logged, with the values that led to it."""
 
     name: str
--- a/spoolcrank/log_follower.py
+++ b/spoolcrank/log_follower.py
@@ -11,7 +11,7 @@
 """The delay before the next read of an eager follower, seconds. It lets records that arrive close
 together share one read."""
 
-LAZY_GAP_S = 0.3
+LAZY_READ_DELAY_S = 0.3
 """The delay before the next read of a lazy follower, seconds. A query for the state of a job makes
 it read at once."""
 
@@ -60,7 +60,7 @@
         self.copy = KeyedLog()
         self.eager = False
         self.contact = False
-        self.regained_at = -1.0
+        self.reconnected_at = -1.0
         self._log = log
         self._timers = timers
         self._clock = clock
@@ -152,7 +152,7 @@
             self._notify(records)
             self._load(page.records[-1].key)
             return
-        self.copy.loaded_to(self._page_end)
+        self.copy.finish_load(self._page_end)
         self.copy.read_at = max(self.copy.read_at, asked_at)
         self._notify(records)
         self._read()
@@ -161,7 +161,7 @@
 
     def _read(self) -> None:
         if self._refreshing and not self.eager:
-            self._schedule(LAZY_GAP_S, self._read)
+            self._schedule(LAZY_READ_DELAY_S, self._read)
             return
         generation = self._generation
         asked_at = self._clock()
@@ -198,7 +198,7 @@
         elif self.eager:
             self._schedule(EAGER_READ_DELAY_S, self._read)
         else:
-            self._schedule(LAZY_GAP_S if got.records else 0.0, self._read)
+            self._schedule(LAZY_READ_DELAY_S if got.records else 0.0, self._read)
 
     def _apply_read(self, got: Records, asked_at: float) -> bool:
         """Apply the result of a read and return whether the copy is still valid."""
@@ -255,5 +255,5 @@
         if contact != self.contact:
             self.contact = contact
             if contact:
-                self.regained_at = self._clock()
+                self.reconnected_at = self._clock()
             self._on_contact(contact, detail)
--- a/spoolcrank/log_link.py
+++ b/spoolcrank/log_link.py
@@ -142,7 +142,7 @@
                 return True
         return False
 
-    def resolve(self, seq: int) -> None:
+    def confirm_applied(self, seq: int) -> None:
         """Record that this writer's records up to `seq` were read back and applied."""
         for queued in list(self._in_flight):
             if queued.envelope.seq <= seq:
--- a/spoolcrank/lost_tasks.py
+++ b/spoolcrank/lost_tasks.py
@@ -28,17 +28,17 @@
 """Maximum time between the start of a run and its loss, in seconds, for the loss to count as
 soon after the start. The lifetime of a run is known to within one renewal."""
 
-SETTLED_S = 2.0
+MIN_AGE_GAP_S = 2.0
 """Minimum time, in seconds, by which an attempt on the same server must be older to be ruled out
 as the cause; two renewals."""
 
-APART_AFTER = 2
+ISOLATE_AFTER_CRASHES = 2
 """Number of crashes after which a task is isolated on a server of its own."""
 
-UNKNOWN_S = -1.0
+UNKNOWN_LIFETIME_S = -1.0
 """Value that stands for an unknown time, in seconds."""
 
-CLOSED_S = 4.0
+EXCLUSIVE_S = 4.0
 """Time for which nothing else is placed on the server of such a task, in seconds."""
 
 RESTART_DELAYS_S = (0.0, 1.0, 2.0, 5.0)
@@ -54,7 +54,7 @@
     """
 
     server: InstanceId
-    lived_s: float = UNKNOWN_S
+    lived_s: float = UNKNOWN_LIFETIME_S
     alone: bool = False
 
 
@@ -68,7 +68,7 @@
     return [*crashes, crash][-MAX_STORED_CRASHES:]
 
 
-def is_guilty(crashes: Sequence[Crash]) -> bool:
+def causes_crashes(crashes: Sequence[Crash]) -> bool:
     """Return whether the crashes prove that a task brings servers down."""
     soon = [crash for crash in crashes if crash.lived_s <= SOON_S]
     alone = [crash for crash in soon if crash.alone]
--- a/spoolcrank/membership.py
+++ b/spoolcrank/membership.py
@@ -68,7 +68,7 @@
 class Peer(NamedTuple):
     """The last heartbeat of a peer and when it arrived, by our clock."""
 
-    beat: Heartbeat
+    heartbeat: Heartbeat
     last_heartbeat_at: float
 
 
@@ -93,14 +93,14 @@
     members.listed_at = now
 
 
-def on_heartbeat(members: Members, beat: Heartbeat, now: float) -> bool:
+def on_heartbeat(members: Members, heartbeat: Heartbeat, now: float) -> bool:
     """Record a peer's heartbeat; return False for an outdated or repeated one."""
-    known = members.peers.get(beat.sender)
-    if known is not None and known.beat.incarnation == beat.incarnation:
-        if beat.seq <= known.beat.seq:
+    known = members.peers.get(heartbeat.sender)
+    if known is not None and known.heartbeat.incarnation == heartbeat.incarnation:
+        if heartbeat.seq <= known.heartbeat.seq:
             return False
-    members.peers[beat.sender] = Peer(beat, now)
-    for echo in beat.echoes:
+    members.peers[heartbeat.sender] = Peer(heartbeat, now)
+    for echo in heartbeat.echoes:
         if echo.instance == members.me and echo.incarnation == members.incarnation:
             members.witness_at = max(members.witness_at, echo.sent_at)
     return True
@@ -110,7 +110,10 @@
     """Return the last heartbeat received from each peer, as echoes for our next heartbeat."""
     return tuple(
         Echo(
-            peer.beat.sender, peer.beat.incarnation, peer.beat.sent_at, now - peer.last_heartbeat_at
+            peer.heartbeat.sender,
+            peer.heartbeat.incarnation,
+            peer.heartbeat.sent_at,
+            now - peer.last_heartbeat_at,
         )
         for peer in members.peers.values()
     )
@@ -131,7 +134,7 @@
     if instance == members.me:
         return incarnation == members.incarnation
     peer = members.peers.get(instance)
-    if peer is None or peer.beat.incarnation != incarnation:
+    if peer is None or peer.heartbeat.incarnation != incarnation:
         return False
     return now - peer.last_heartbeat_at <= policy.membership.dead_after_s
 
@@ -152,10 +155,10 @@
     """Return the entry instances of our zone that may own servers, sorted by name."""
     eligible = []
     for peer in members.peers.values():
-        beat = peer.beat
-        same_zone = beat.zone == members.zone and beat.ready and not beat.leaving
-        if same_zone and is_alive(members, beat.sender, policy, now):
-            eligible.append(beat.sender)
+        heartbeat = peer.heartbeat
+        same_zone = heartbeat.zone == members.zone and heartbeat.ready and not heartbeat.leaving
+        if same_zone and is_alive(members, heartbeat.sender, policy, now):
+            eligible.append(heartbeat.sender)
     if not members.leaving:
         eligible.append(members.me)
     return sorted(entry for entry in eligible if not is_drained(members, entry, ledger))
@@ -208,7 +211,7 @@
     replaced by a new incarnation, or is no longer listed, is gone permanently.
     """
     peer = members.peers.get(instance)
-    if peer is not None and peer.beat.incarnation != incarnation:
+    if peer is not None and peer.heartbeat.incarnation != incarnation:
         return float("inf")
     if instance not in members.listed and members.listed_at is not None:
         return float("inf")
@@ -229,10 +232,10 @@
 ) -> float:
     if witness is None or now - witness.last_heartbeat_at > policy.membership.dead_after_s:
         return 0.0
-    for echo in witness.beat.echoes:
+    for echo in witness.heartbeat.echoes:
         if echo.instance == instance and echo.incarnation == incarnation:
             return echo.age_s
-    return witness.beat.seq * policy.membership.heartbeat_s
+    return witness.heartbeat.seq * policy.membership.heartbeat_s
 
 
 def rack_of(members: Members, instance: InstanceId) -> Rack:
--- a/spoolcrank/ladder.py
+++ b/spoolcrank/mitigation.py
@@ -7,14 +7,14 @@
 from spoolcrank.interference import (
     Estimate,
     EvictTask,
-    Excuse,
-    Learnt,
+    Exemption,
+    InterferenceModel,
+    LatencyMonitor,
     Level,
     Pair,
     Step,
     ThrottleTask,
-    Trial,
-    Watch,
+    ThrottleTrial,
 )
 from spoolcrank.jobs import JobClass
 from spoolcrank.policy import Policy
@@ -46,7 +46,7 @@
 
 
 def step(
-    model: Learnt,
+    model: InterferenceModel,
     server: InstanceId,
     service: ServiceName,
     kind: str,
@@ -88,7 +88,7 @@
     return []
 
 
-def _is_exempt(monitor: Watch, now: float) -> bool:
+def _is_exempt(monitor: LatencyMonitor, now: float) -> bool:
     """Return whether batch work is exempt because a trial found another cause of the latency."""
     exemption = monitor.exemption
     return (
@@ -98,7 +98,9 @@
     )
 
 
-def _is_persistently_slow(monitor: Watch, service_rate: float, policy: Policy, now: float) -> bool:
+def _is_persistently_slow(
+    monitor: LatencyMonitor, service_rate: float, policy: Policy, now: float
+) -> bool:
     """Return whether requests are still slow although the routers had time to steer away."""
     if monitor.slow_rate(now) <= policy.interference.tail_share * service_rate:
         monitor.slow_since = None
@@ -109,9 +111,9 @@
 
 
 def _escalate(
-    model: Learnt,
+    model: InterferenceModel,
     server: InstanceId,
-    monitor: Watch,
+    monitor: LatencyMonitor,
     service: ServiceName,
     kind: str,
     batch: list[RunningTask],
@@ -131,7 +133,7 @@
         monitor.level = max(monitor.level, Level.THROTTLED)
         to_throttle = throttleable[: max(1, len(throttleable) // 2)]
         share = policy.interference.throttle
-        current = monitor.trial or Trial(
+        current = monitor.trial or ThrottleTrial(
             monitor.recent_latency_s, monitor.calm_latency_s, now, monitor.samples
         )
         monitor.trial = current._replace(stepped_at=now, samples=monitor.samples)
@@ -144,28 +146,32 @@
     return _evict_one(model, monitor, order, policy, now)
 
 
-def _is_trial_over(trial: Trial, monitor: Watch, now: float) -> bool:
+def _is_trial_over(trial: ThrottleTrial, monitor: LatencyMonitor, now: float) -> bool:
     """Return whether enough time and requests have passed since the last throttling."""
     measured = monitor.samples - trial.samples
     return now - trial.stepped_at >= _MIN_TRIAL_S and measured >= _MIN_SAMPLES
 
 
-def _is_relieved(monitor: Watch, trial: Trial) -> bool:
+def _is_relieved(monitor: LatencyMonitor, trial: ThrottleTrial) -> bool:
     """Return whether throttling batch work removed enough of the latency above the calm level."""
     before = trial.recent_latency_s - trial.calm_latency_s
     return monitor.recent_latency_s - trial.calm_latency_s <= (1.0 - _MIN_RELIEF) * before
 
 
-def _exempt(monitor: Watch, batch: list[RunningTask], now: float) -> list[Step]:
+def _exempt(monitor: LatencyMonitor, batch: list[RunningTask], now: float) -> list[Step]:
     """Exempt batch work that is not the cause: evicting it would not help the service."""
-    monitor.exemption = Excuse(monitor.recent_latency_s, now + _EXEMPTION_S)
+    monitor.exemption = Exemption(monitor.recent_latency_s, now + _EXEMPTION_S)
     monitor.trial = None
     monitor.level = Level.OPEN
     return [ThrottleTask(run.task, run.attempt, 1.0) for run in batch if run.throttle < 1.0]
 
 
 def _evict_one(
-    model: Learnt, monitor: Watch, order: list[RunningTask], policy: Policy, now: float
+    model: InterferenceModel,
+    monitor: LatencyMonitor,
+    order: list[RunningTask],
+    policy: Policy,
+    now: float,
 ) -> list[Step]:
     model.evicted_at = [at for at in model.evicted_at if now - at < 60.0]
     if len(model.evicted_at) >= policy.interference.evictions_per_minute:
@@ -176,7 +182,7 @@
 
 
 def _by_slowdown(
-    model: Learnt,
+    model: InterferenceModel,
     service: ServiceName,
     kind: str,
     batch: list[RunningTask],
@@ -194,8 +200,8 @@
 
 
 def _attribute_slowdown(
-    model: Learnt,
-    monitor: Watch,
+    model: InterferenceModel,
+    monitor: LatencyMonitor,
     service: ServiceName,
     kind: str,
     batch: list[RunningTask],
@@ -215,7 +221,7 @@
 
 
 def _weight(
-    model: Learnt,
+    model: InterferenceModel,
     service: ServiceName,
     kind: str,
     run: RunningTask,
@@ -227,8 +233,8 @@
 
 
 def _relax(
-    model: Learnt,
-    monitor: Watch,
+    model: InterferenceModel,
+    monitor: LatencyMonitor,
     service: ServiceName,
     kind: str,
     batch: list[RunningTask],
@@ -265,7 +271,7 @@
 
 
 def expected_slowdown(
-    model: Learnt,
+    model: InterferenceModel,
     service: ServiceName,
     kind: str,
     batch: list[RunningTask],
@@ -283,7 +289,7 @@
 
 
 def _lower_estimates(
-    model: Learnt,
+    model: InterferenceModel,
     service: ServiceName,
     kind: str,
     batch: list[RunningTask],
--- a/spoolcrank/open_requests.py
+++ b/spoolcrank/open_requests.py
@@ -15,7 +15,7 @@
 """
 
 
-class Waits(Enum):
+class WaitReason(Enum):
     """What an unanswered request waits for; CLIENT: for the client to read the answer."""
 
     NOTHING = "nothing"
@@ -26,7 +26,7 @@
 
 
 @dataclass(eq=False)
-class Asked:
+class OpenRequest:
     """One request that was read completely and has no answer yet.
 
     Attributes:
@@ -38,31 +38,31 @@
 
     request: HttpRequest
     reply: Reply
-    came_at: float
-    waits: Waits = Waits.NOTHING
+    received_at: float
+    waits: WaitReason = WaitReason.NOTHING
 
 
 class OpenRequests:
     """The unanswered requests of one listening address, oldest first."""
 
     def __init__(self) -> None:
-        self._asked: dict[Asked, None] = {}
+        self._asked: dict[OpenRequest, None] = {}
 
     def __len__(self) -> int:
         return len(self._asked)
 
-    def begin(self, asked: Asked) -> None:
+    def begin(self, asked: OpenRequest) -> None:
         """Add a request that was read completely."""
         self._asked[asked] = None
 
-    def end(self, asked: Asked) -> bool:
+    def end(self, asked: OpenRequest) -> bool:
         """Remove a request that is being answered; return False if it already has an answer."""
         if asked not in self._asked:
             return False
         del self._asked[asked]
         return True
 
-    def oldest_first(self) -> list[Asked]:
+    def oldest_first(self) -> list[OpenRequest]:
         """Return the unanswered requests in the order of their arrival."""
         return list(self._asked)
 
@@ -79,28 +79,31 @@
     method: str
     path: str
     read_at: float
-    waits: Waits
+    waits: WaitReason
 
 
 def given_up(asked: OpenRequests, unsent: list[Unsent]) -> list[AbandonedRequest]:
     """Return the requests that a stop abandons: unanswered, or with a partly sent answer."""
     waiting = [
         AbandonedRequest(
-            unanswered.request.method, unanswered.request.path, unanswered.came_at, unanswered.waits
+            unanswered.request.method,
+            unanswered.request.path,
+            unanswered.received_at,
+            unanswered.waits,
         )
         for unanswered in asked.oldest_first()
     ]
-    return waiting + [AbandonedRequest(*answer, Waits.CLIENT) for answer in unsent]
+    return waiting + [AbandonedRequest(*answer, WaitReason.CLIENT) for answer in unsent]
 
 
-def tell_given_up(
+def log_given_up(
     requests: list[AbandonedRequest], stopped_at: float, now: float, log: Callable[..., None]
 ) -> None:
     """Log one line for each abandoned request, up to `MAX_GIVEN_UP_LINES`."""
     for request in requests[:MAX_GIVEN_UP_LINES]:
         log(
             "given-up",
-            grave=True,
+            important=True,
             method=request.method,
             path=request.path,
             age_s=round(now - request.read_at, 3),
--- a/spoolcrank/operators.py
+++ b/spoolcrank/operators.py
@@ -12,7 +12,7 @@
 from spoolcrank._timers import Timers
 from spoolcrank._web import HttpRequest, Reply, json_reply, refusal_reply
 from spoolcrank.controller import Controller
-from spoolcrank.decisions import Decisions
+from spoolcrank.decisions import DecisionHistory
 from spoolcrank.errors import ErrorKind, Refusal
 from spoolcrank.fleet import Role
 from spoolcrank.ids import CommandId, InstanceId, JobId, unique
@@ -72,7 +72,7 @@
         self,
         controller: Controller,
         jobs: JobsApi,
-        decisions: Decisions,
+        decisions: DecisionHistory,
         timers: Timers,
         metrics: Metrics,
     ) -> None:
@@ -197,9 +197,11 @@
         The answer is sent once all live peers have answered, or after _PEER_ANSWER_TIMEOUT_S.
         """
         peers = [
-            peer.beat.sender
+            peer.heartbeat.sender
             for peer in self._core.members.peers.values()
-            if is_alive(self._core.members, peer.beat.sender, self._core.policy, time.monotonic())
+            if is_alive(
+                self._core.members, peer.heartbeat.sender, self._core.policy, time.monotonic()
+            )
         ]
         answers = [json.loads(self._local_answer_json(command.name))]
         waiting = len(peers)
@@ -336,7 +338,7 @@
     def _publish(self, record: ConfigRecord, reply: Reply) -> None:
         """Append a configuration and reply once it has been read back as accepted or rejected."""
         if self._find_change(record.command) is None:
-            if not self._core.situation(time.monotonic()).log_ok:
+            if not self._core.log_status(time.monotonic()).log_ok:
                 refusal = Refusal(ErrorKind.LOG_UNAVAILABLE, "the log is unavailable", "", 1.0)
                 self._jobs.refuse(refusal, reply)
                 return
--- a/spoolcrank/order_answers.py
+++ b/spoolcrank/order_answers.py
@@ -4,11 +4,11 @@
 Such a run stays assigned to its runner until a report of the runner settles it.
 """
 
-from spoolcrank.odd_ends import blames_runner
+from spoolcrank.abnormal_ends import record_abnormal_end
 from spoolcrank.orders import Answered, OrderResult, Pace, Start, Stop
-from spoolcrank.pacing import SETTLE_S
+from spoolcrank.pacing import MIN_PACE_INTERVAL_S
 from spoolcrank.runner_loss import lose_runner
-from spoolcrank.runner_state import UNKNOWN_PACE, RunnerState
+from spoolcrank.runner_state import ASSUMED_PACE_PERCENT, RunnerState
 from spoolcrank.runs import Run, RunStage
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL
@@ -29,7 +29,7 @@
     run.in_flight = False
     result = answered.result
     if result is not OrderResult.DONE:
-        state.note(
+        state.log_event(
             "start-refused",
             task=start.task,
             run=start.run,
@@ -44,9 +44,9 @@
     elif result is OrderResult.DONE:
         _start_accepted(state, start, runner, run, now)
     elif result is OrderResult.UNKNOWN:
-        run.stage = RunStage.UNSURE
+        run.stage = RunStage.UNCONFIRMED
         run.since = now
-        runner.missed(now)
+        runner.record_no_answer(now)
     elif run.tries > 1 or result is OrderResult.SUPERSEDED:
         # This run or a later one may have ended there; only the runner's list of ends shows how.
         state.stop_run(start.task, runner.id, now)
@@ -59,7 +59,7 @@
 ) -> None:
     run.stage = RunStage.RUNNING
     run.since = now
-    run.moved_at = now
+    run.progress_changed_at = now
     job = state.jobs.get(start.task.job)
     if job is not None and job.phase in FINAL:
         state.stop_run(start.task, runner.id, now)
@@ -69,13 +69,13 @@
     state: Scheduler, start: Start, runner: RunnerState, result: OrderResult, now: float
 ) -> None:
     if result in (OrderResult.NOT_DONE, OrderResult.OUTRANKED):
-        runner.missed(now)
+        runner.record_no_answer(now)
     job = state.jobs.get(start.task.job)
     if job is not None and job.has(start.task):
         task = job.task(start.task)
         task.refused_by = runner.id
-        if result in REFUSALS and blames_runner(task, runner, runner.runs[start.task], now):
-            runner.distrust(now)
+        if result in REFUSALS and record_abnormal_end(task, runner, runner.runs[start.task], now):
+            runner.quarantine(now)
     state.release(start.task, runner, f"start refused: {result.value}", now)
 
 
@@ -98,7 +98,7 @@
     if answered.result is OrderResult.DONE:
         run.tries = 0
     else:
-        state.note(
+        state.log_event(
             "stop-refused",
             task=stop.task,
             run=stop.run,
@@ -119,6 +119,6 @@
     if answered.result is OrderResult.DONE:
         return
     if run.pace == pace.percent:
-        runner.set_pace(run, UNKNOWN_PACE, now)
-        run.paced_at = now - SETTLE_S
-    state.note("pace-refused", task=pace.task, run=pace.run, result=answered.result.value)
+        runner.set_pace(run, ASSUMED_PACE_PERCENT, now)
+        run.paced_at = now - MIN_PACE_INTERVAL_S
+    state.log_event("pace-refused", task=pace.task, run=pace.run, result=answered.result.value)
--- a/spoolcrank/order_sender.py
+++ b/spoolcrank/order_sender.py
@@ -5,7 +5,7 @@
 from spoolcrank.order_answers import pace_answered, start_answered, stop_answered
 from spoolcrank.orders import Answered, Order, OrderResult, Pace, Poll, Start, Stop
 from spoolcrank.run_control import poll_answered, poll_failed
-from spoolcrank.runner_port import Polled, RunnerPort
+from spoolcrank.runner_port import PollResult, RunnerPort
 from spoolcrank.scheduler import Scheduler
 
 OnAnswer = Callable[[Scheduler, Order, OrderResult], None]
@@ -53,7 +53,7 @@
     def _poll(self, scheduler: Scheduler, order: Poll) -> None:
         asked_at = self._clock()
 
-        def polled(answer: Polled) -> None:
+        def polled(answer: PollResult) -> None:
             def apply() -> None:
                 now = self._clock()
                 if answer.report is not None:
@@ -115,7 +115,7 @@
     else:
         starts.answered(order.task, order.run, took_s, now)
     if starts.limit < limit_before:
-        scheduler.note(
+        scheduler.log_event(
             "starts-held-back",
             runner=order.target.runner,
             result=result.value,
--- a/spoolcrank/orders.py
+++ b/spoolcrank/orders.py
@@ -109,7 +109,7 @@
     run: int
     saved: str
     percent: int
-    figure: float
+    measurement: float
 
 
 class EndedRow(NamedTuple):
@@ -141,5 +141,5 @@
     running: tuple[RunningRow, ...]
     ended: tuple[EndedRow, ...]
     whole: bool = True
-    unread: int = 0
-    unread_ends: tuple[int, ...] = ()
+    unreadable: int = 0
+    unreadable_ends: tuple[int, ...] = ()
--- a/spoolcrank/owned_server.py
+++ b/spoolcrank/owned_server.py
@@ -60,8 +60,8 @@
     next_at: float = float("-inf")
     seq: int = 0
     waiting: int = 0
-    slots_from: float = 0.0
-    slots_held: int = 0
+    inherited_until: float = 0.0
+    inherited_slots: int = 0
     runner_use: SlotUse | None = None
     starts: dict[TaskId, float] = field(default_factory=dict)
     ends: dict[AttemptRef, float] = field(default_factory=dict)
@@ -92,7 +92,7 @@
         return self.seq
 
 
-class Situation(NamedTuple):
+class LogStatus(NamedTuple):
     """The present state of the log as an owner sees it.
 
     Attributes:
--- a/spoolcrank/ownership.py
+++ b/spoolcrank/ownership.py
@@ -23,7 +23,7 @@
 from spoolcrank.policy import Policy
 
 
-class Standing(Enum):
+class OwnershipStatus(Enum):
     """Whether a server is owned by us, by a live peer, or by no live process."""
 
     MINE = "mine"
@@ -41,15 +41,17 @@
     return max(owners, key=lambda owner: weight(server, owner), default=None)
 
 
-def ownership_status(members: Members, claim: Claim | None, policy: Policy, now: float) -> Standing:
+def ownership_status(
+    members: Members, claim: Claim | None, policy: Policy, now: float
+) -> OwnershipStatus:
     """Return whether a server is ours, owned by a live process of a peer, or vacant."""
     if claim is None:
-        return Standing.VACANT
+        return OwnershipStatus.VACANT
     if claim.incarnation == members.incarnation:
-        return Standing.MINE
+        return OwnershipStatus.MINE
     if is_incarnation_alive(members, claim.owner, claim.incarnation, policy, now):
-        return Standing.OWNED_BY_PEER
-    return Standing.VACANT
+        return OwnershipStatus.OWNED_BY_PEER
+    return OwnershipStatus.VACANT
 
 
 class Vacancy(NamedTuple):
@@ -69,7 +71,7 @@
         if instance.role.value != "backend" or instance.availability_zone != members.zone:
             continue
         claim = ledger.claims.get(instance.id)
-        if ownership_status(members, claim, policy, now) is Standing.VACANT:
+        if ownership_status(members, claim, policy, now) is OwnershipStatus.VACANT:
             if preferred(instance.id, owners) == members.me:
                 claimable.append(Vacancy(instance.id, claim))
     return claimable
@@ -134,4 +136,4 @@
     if owner == members.me:
         return members.incarnation
     peer = members.peers.get(owner)
-    return peer.beat.incarnation if peer else Incarnation("")
+    return peer.heartbeat.incarnation if peer else Incarnation("")
--- a/spoolcrank/tenure.py
+++ b/spoolcrank/ownership_transfer.py
@@ -9,7 +9,7 @@
 from spoolcrank.ledger import Claim
 from spoolcrank.owned_server import Append, OwnedServer, Phase
 from spoolcrank.records import Claimed
-from spoolcrank.state import Core, CoreAction, Handover, Note, Relinquished
+from spoolcrank.state import Core, CoreAction, Handover, LogEvent, Relinquished
 
 _CLAIM_RETRY_S = 3.0
 _INTERIM_DELAY_S = 1.0
@@ -26,13 +26,13 @@
     if not is_ours:
         if owned is not None and owned.epoch < record.epoch:
             del core.owned[record.server]
-        return [Note("claim.seen", {"server": record.server, "owner": record.owner})]
+        return [LogEvent("claim.seen", {"server": record.server, "owner": record.owner})]
     if core.stopping:
         return []
     _own(core, record.server, record.epoch, now, owned)
     if owned is None and replaced is None:
-        core.owned[record.server].slots_held = 0
-    return [Note("claim.won", {"server": record.server, "epoch": str(record.epoch)})]
+        core.owned[record.server].inherited_slots = 0
+    return [LogEvent("claim.won", {"server": record.server, "epoch": str(record.epoch)})]
 
 
 def own_claimed(core: Core, now: float) -> list[CoreAction]:
@@ -50,7 +50,7 @@
         owned = core.owned.get(server)
         if owned is None or owned.epoch < claim.epoch:
             _own(core, server, claim.epoch, now, owned)
-            actions.append(Note("claim.found", {"server": server, "epoch": str(claim.epoch)}))
+            actions.append(LogEvent("claim.found", {"server": server, "epoch": str(claim.epoch)}))
     return actions
 
 
@@ -58,15 +58,15 @@
     core: Core, server: InstanceId, epoch: Epoch, now: float, previous: OwnedServer | None
 ) -> None:
     renewed = OwnedServer(server, core.members.incarnation, epoch, now)
-    renewed.slots_from = now + core.policy.routing.deadline_ms / 1000
-    renewed.slots_held = _ALL_SLOTS_BUSY
+    renewed.inherited_until = now + core.policy.routing.deadline_ms / 1000
+    renewed.inherited_slots = _ALL_SLOTS_BUSY
     if previous is not None:
         renewed.contacted_at = previous.contacted_at
         renewed.last_renew_at = previous.last_renew_at
         renewed.report = previous.report
         renewed.placing = previous.placing
-        renewed.slots_from = previous.slots_from
-        renewed.slots_held = previous.slots_held
+        renewed.inherited_until = previous.inherited_until
+        renewed.inherited_slots = previous.inherited_slots
         renewed.runner_use = previous.runner_use
     core.owned[server] = renewed
     core.relinquished.pop(server, None)
@@ -82,12 +82,12 @@
     if current is not None and current.epoch > epoch:
         return []
     _own(core, server, next_interim(epoch), now, None)
-    core.owned[server].slots_held = busy
-    return [Note("handover.taken", {"server": server}), *_claim(core, server, now, epoch)]
+    core.owned[server].inherited_slots = busy
+    return [LogEvent("handover.taken", {"server": server}), *_claim(core, server, now, epoch)]
 
 
 def _claim(core: Core, server: InstanceId, now: float, above: Epoch) -> list[CoreAction]:
-    if not core.situation(now).log_ok:
+    if not core.log_status(now).log_ok:
         return []
     if now - core.claims_sent.get(server, float("-inf")) < _CLAIM_RETRY_S:
         return []
@@ -105,15 +105,15 @@
 def take_vacant(core: Core, now: float) -> list[CoreAction]:
     """Claim the vacant servers that we should own, or own them in interim while the log is down."""
     actions: list[CoreAction] = []
-    situation = core.situation(now)
+    log_status = core.log_status(now)
     for vacancy in ownership.vacancies(core.members, core.ledger, core.policy, now):
-        if situation.log_ok:
+        if log_status.log_ok:
             actions += _claim(core, vacancy.server, now, _highest_epoch(core, vacancy.server))
         elif vacancy.server not in core.owned and vacancy.claim is not None:
             if now - core.log_ok_at < _INTERIM_DELAY_S:
                 continue
             _take_interim(core, vacancy.server, now)
-            actions.append(Note("interim.taken", {"server": vacancy.server}))
+            actions.append(LogEvent("interim.taken", {"server": vacancy.server}))
     return actions
 
 
@@ -143,7 +143,7 @@
             continue
         if now - relinquished.at < _RECLAIM_DELAY_S or not _no_peer_owns(core, server, now):
             continue
-        if core.situation(now).log_ok:
+        if core.log_status(now).log_ok:
             actions += _claim(core, server, now, relinquished.epoch)
         else:
             _take_interim(core, server, now)
@@ -153,15 +153,15 @@
 def _no_peer_owns(core: Core, server: InstanceId, now: float) -> bool:
     """Return whether no live peer reports that it owns a server."""
     for peer in core.members.peers.values():
-        if membership.is_alive(core.members, peer.beat.sender, core.policy, now):
-            if any(status.server == server for status in peer.beat.servers):
+        if membership.is_alive(core.members, peer.heartbeat.sender, core.policy, now):
+            if any(status.server == server for status in peer.heartbeat.servers):
                 return False
     return True
 
 
 def rebalance(core: Core, now: float) -> list[CoreAction]:
     """Hand one server over to the peer that the hash prefers, if there is such a server."""
-    if now - core.last_handover_at < _HANDOVER_INTERVAL_S or not core.situation(now).log_ok:
+    if now - core.last_handover_at < _HANDOVER_INTERVAL_S or not core.log_status(now).log_ok:
         return []
     for owned in core.owned.values():
         settled = now - owned.claimed_at > _MIN_OWNED_S
@@ -180,7 +180,7 @@
     """Hand a server over to a peer: stop commanding it, then notify the peer."""
     owned = core.owned.pop(server)
     core.relinquished[server] = Relinquished(next_interim(owned.epoch), now)
-    log_event = Note("handover.given", {"server": server, "to": new_owner})
+    log_event = LogEvent("handover.given", {"server": server, "to": new_owner})
     return [Handover(new_owner, server, owned.epoch, core.busy_slots(server)), log_event]
 
 
--- a/spoolcrank/pacing.py
+++ b/spoolcrank/pacing.py
@@ -5,7 +5,7 @@
 from spoolcrank.filler_pace import AIM_RATIO, MIN_PACE, fillers, order_pace
 from spoolcrank.mechanisms import Mechanism
 from spoolcrank.orders import Report
-from spoolcrank.packing import SMALL_EFFECT, SURELY_HARMLESS
+from spoolcrank.packing import HARMLESS_LIKELIHOOD, NEGLIGIBLE_EFFECT
 from spoolcrank.placing import has_harmless_place
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import Run
@@ -21,7 +21,7 @@
 SPEED_UP_RATIO = 0.6
 """Ratio of tail latency to target up to which, on every serving task, fillers may speed up."""
 
-SETTLE_S = 0.6
+MIN_PACE_INTERVAL_S = 0.6
 """Minimum time between two changes of one filler's pace, seconds. The effect of a change shows in
 the report after next."""
 
@@ -46,10 +46,10 @@
         shares: share of its processors that fillers of each image used in the time covered.
         now: monotonic seconds.
     """
-    if now - runner.learnt_at < REPORT_WINDOW_S:
+    if now - runner.learned_at < REPORT_WINDOW_S:
         return
-    runner.learnt_at = now
-    runner.filler_room = None
+    runner.learned_at = now
+    runner.filler_headroom = None
     for run in runner.runs.values():
         if run.serves and run.tail_ms > 0 and run.percent == 100:
             ratio = run.tail_ms / run.target_ms
@@ -66,7 +66,7 @@
     for row in report.running:
         run = runner.runs.get(row.task)
         if run is not None and run.number == row.run and run.fills:
-            shares[run.image] = shares.get(run.image, 0.0) + runner.share(row.figure)
+            shares[run.image] = shares.get(run.image, 0.0) + runner.share(row.measurement)
     for end in report.ended:
         run = runner.runs.get(end.task)
         if end.number > runner.seen_next and run is not None and run.number == end.run:
@@ -90,7 +90,7 @@
         _slow_down(state, runner, slowest, ratio, now)
     elif ratio <= SPEED_UP_RATIO:
         _speed_up(state, runner, slowest, ratio, now)
-    on_target = all(run.over_since is None for run in runner.runs.values())
+    on_target = all(run.over_target_since is None for run in runner.runs.values())
     if on_target and state.uses(Mechanism.FREEING):
         _speed_up_harmless(state, runner, now)
     if state.uses(Mechanism.MOVING):
@@ -107,20 +107,20 @@
     if runner.serving:
         return
     for key, run in list(fillers(runner)):
-        if run.pace < 100 and now - run.paced_at >= SETTLE_S:
+        if run.pace < 100 and now - run.paced_at >= MIN_PACE_INTERVAL_S:
             order_pace(state, runner, key, run, 100, now)
 
 
 def _over_target_too_long(runner: RunnerState, now: float) -> bool:
     return any(
-        run.over_since is not None and now - run.over_since >= HALT_AFTER_S
+        run.over_target_since is not None and now - run.over_target_since >= HALT_AFTER_S
         for run in runner.runs.values()
     )
 
 
 def _surely_harmless(state: Scheduler, runner: RunnerState, run: Run) -> bool:
     harmless = state.contention.harmless
-    return all(harmless(image, run.image) >= SURELY_HARMLESS for image in runner.serving)
+    return all(harmless(image, run.image) >= HARMLESS_LIKELIHOOD for image in runner.serving)
 
 
 def _speed_up_harmless(state: Scheduler, runner: RunnerState, now: float) -> None:
@@ -130,7 +130,7 @@
     they did not raise.
     """
     for key, run in list(fillers(runner)):
-        if run.pace < 100 and now - run.paced_at >= SETTLE_S:
+        if run.pace < 100 and now - run.paced_at >= MIN_PACE_INTERVAL_S:
             if _surely_harmless(state, runner, run):
                 order_pace(state, runner, key, run, 100, now)
 
@@ -151,15 +151,17 @@
 ) -> None:
     running = list(fillers(runner))
     effects = [_effect(state, runner, slowest, run) for _, run in running]
-    slowing = [pair for pair, effect in zip(running, effects, strict=True) if effect > SMALL_EFFECT]
+    slowing = [
+        pair for pair, effect in zip(running, effects, strict=True) if effect > NEGLIGIBLE_EFFECT
+    ]
     if not slowing and ratio >= 1.0:
         slowing = running
     required_reduction = math.log(ratio / AIM_RATIO)
-    total_effect = max(sum(effects), SMALL_EFFECT)
+    total_effect = max(sum(effects), NEGLIGIBLE_EFFECT)
     factor = max(0.0, 1.0 - required_reduction / total_effect)
     for key, run in slowing:
         pace = max(MIN_PACE, int(run.pace * factor))
-        if pace < run.pace and now - run.paced_at >= SETTLE_S:
+        if pace < run.pace and now - run.paced_at >= MIN_PACE_INTERVAL_S:
             order_pace(state, runner, key, run, pace, now)
 
 
@@ -172,7 +174,7 @@
     shares = runner.filler_shares(now)
     effects = {image: state.contention.effect(image, shares.items()) for image in runner.serving}
     return max(
-        run.load.ahead(state.contention.base(run.image), now)[0] + effects[run.image]
+        run.load.predict(state.contention.base(run.image), now)[0] + effects[run.image]
         for run in runner.runs.values()
         if run.serves
     )
@@ -183,7 +185,7 @@
 ) -> None:
     allowed = math.log(AIM_RATIO) - max(math.log(ratio), _expected_level(state, runner, now))
     for key, run in fillers(runner):
-        if run.pace >= 100 or now - run.paced_at < SETTLE_S:
+        if run.pace >= 100 or now - run.paced_at < MIN_PACE_INTERVAL_S:
             continue
         weight = state.contention.weight(slowest.image, run.image)
         per_percent = weight * runner.share(run.wanted_millicores) / 100.0
@@ -203,5 +205,7 @@
             continue
         run.slow_since = now
         if has_harmless_place(state, key, runner.id, now):
-            state.note("moved", task=key, run=run.number, runner=runner.id, percent=run.percent)
+            state.log_event(
+                "moved", task=key, run=run.number, runner=runner.id, percent=run.percent
+            )
             state.stop_run(key, runner.id, now)
--- a/spoolcrank/packing.py
+++ b/spoolcrank/packing.py
@@ -11,9 +11,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from spoolcrank.contention import Contention
+from spoolcrank.contention import ContentionModel
 from spoolcrank.ids import ServiceName
-from spoolcrank.runner_state import SERVING_USE, FillerRoom, RunnerState
+from spoolcrank.runner_state import SERVING_USE_SHARE, FillerHeadroom, RunnerState
 from spoolcrank.workflow import Demand, RunnerId, Step, TaskKey
 
 TAIL_COST_CORES = 2.0
@@ -42,13 +42,13 @@
 """Time for which the computed filler room of a runner stays valid, seconds; reports come every
 half second."""
 
-SURELY_HARMLESS = 0.85
+HARMLESS_LIKELIHOOD = 0.85
 """Likelihood from which a filler counts as harmless to a serving image: it may then start beside
 that image under high load and is not slowed there. Without this rule a third of the processors that
 harmless fillers could use stood idle under overload. With it fillers earned 0.08 more of their full
 value (6 paired days, in a variant that also let them run beside a tail over its target)."""
 
-SMALL_EFFECT = 0.06
+NEGLIGIBLE_EFFECT = 0.06
 """Largest increase of the logarithm of a tail latency for which a filler is not blamed when that
 tail exceeds its target."""
 
@@ -89,7 +89,10 @@
 
 
 def choose(
-    request: PlacementRequest, runners: Iterable[RunnerState], contention: Contention, now: float
+    request: PlacementRequest,
+    runners: Iterable[RunnerState],
+    contention: ContentionModel,
+    now: float,
 ) -> RunnerState | None:
     """Return the best runner for a task, or None if the task has to wait."""
     best: RunnerState | None = None
@@ -106,7 +109,7 @@
     request: PlacementRequest,
     demand: Demand,
     runner: RunnerState,
-    contention: Contention,
+    contention: ContentionModel,
     now: float,
 ) -> tuple[float, ...]:
     """Return how well a runner suits a task (higher is better); empty if it must not run there.
@@ -154,7 +157,7 @@
 
 
 def _score(
-    request: PlacementRequest, runner: RunnerState, contention: Contention, now: float
+    request: PlacementRequest, runner: RunnerState, contention: ContentionModel, now: float
 ) -> tuple[float, ...]:
     step = request.step
     near_data = 1.0 if not step.data_rack or step.data_rack in runner.entry.labels else 0.0
@@ -163,28 +166,28 @@
         return _score_filler(step, runner, contention, now, (fresh, near_data))
     if step.target_ms or step.lasting:
         return _score_serving(request, runner, contention, now, (fresh, near_data))
-    tolerated = contention.borne(runner.serving_images)
+    tolerated = contention.tolerated_share(runner.serving_images)
     return (fresh, near_data, -round(tolerated, 1), float(runner.idle_millicores))
 
 
 def _score_filler(
     step: Step,
     runner: RunnerState,
-    contention: Contention,
+    contention: ContentionModel,
     now: float,
     first: tuple[float, ...],
 ) -> tuple[float, ...]:
     effect = _filler_effect(step, runner, contention, now)
     if isinstance(effect, Obstacle):
         return ()
-    harmless = 1.0 if effect <= SMALL_EFFECT else 0.0
+    harmless = 1.0 if effect <= NEGLIGIBLE_EFFECT else 0.0
     # Leave runners that tolerate many kinds of fillers to the fillers that few runners tolerate.
-    tolerated = contention.borne(runner.serving_images)
+    tolerated = contention.tolerated_share(runner.serving_images)
     return (*first, harmless, -round(tolerated, 1), -effect, float(runner.idle_millicores))
 
 
 def _filler_effect(
-    step: Step, runner: RunnerState, contention: Contention, now: float
+    step: Step, runner: RunnerState, contention: ContentionModel, now: float
 ) -> float | Obstacle:
     """Return the largest increase of a tail's logarithm by one more filler, or its obstacle."""
     if runner.idle_millicores < step.millicores * MIN_IDLE_SHARE:
@@ -196,23 +199,23 @@
     effect = 0.0
     for image, allowed in room.left:
         increase = contention.weight(image, step.image) * share
-        if contention.harmless(image, step.image) < SURELY_HARMLESS and increase > allowed:
+        if contention.harmless(image, step.image) < HARMLESS_LIKELIHOOD and increase > allowed:
             return Obstacle.HARM
         effect = max(effect, increase)
     return effect
 
 
-def slows_nothing(step: Step, runner: RunnerState, contention: Contention, now: float) -> bool:
+def slows_nothing(step: Step, runner: RunnerState, contention: ContentionModel, now: float) -> bool:
     """Return whether a filler could start on a runner without slowing its serving tasks."""
     request = PlacementRequest(step, {}, RunnerId(""))
     if not runner.fits(step.demand) or not _allowed(request, runner):
         return False
     effect = _filler_effect(step, runner, contention, now)
-    return not isinstance(effect, Obstacle) and effect <= SMALL_EFFECT
+    return not isinstance(effect, Obstacle) and effect <= NEGLIGIBLE_EFFECT
 
 
 def filler_obstacle(
-    step: Step, runner: RunnerState, contention: Contention, now: float
+    step: Step, runner: RunnerState, contention: ContentionModel, now: float
 ) -> Obstacle | None:
     """Return why a runner cannot take one more filler, or None if it can."""
     if not runner.fits(step.demand):
@@ -221,9 +224,9 @@
     return effect if isinstance(effect, Obstacle) else None
 
 
-def _filler_room(runner: RunnerState, contention: Contention, now: float) -> FillerRoom:
+def _filler_room(runner: RunnerState, contention: ContentionModel, now: float) -> FillerHeadroom:
     """Return what one more filler may add to the tails on a runner, cached until a change."""
-    cached = runner.filler_room
+    cached = runner.filler_headroom
     if cached is not None and now - cached.at < FILLER_ROOM_TTL_S:
         return cached
     shares = runner.filler_shares(now)
@@ -231,18 +234,18 @@
     over = False
     for run in runner.runs.values():
         if run.serves:
-            over = over or run.over_since is not None
-            base, _ = run.load.ahead(contention.base(run.image), now + EFFECT_DELAY_S)
+            over = over or run.over_target_since is not None
+            base, _ = run.load.predict(contention.base(run.image), now + EFFECT_DELAY_S)
             bases[run.image] = max(base, bases.get(run.image, base))
     left = tuple(
         (image, MAX_LOG_TAIL_SHARE - base - contention.effect(image, shares.items()))
         for image, base in bases.items()
     )
-    room = runner.filler_room = FillerRoom(now, over, left)
+    room = runner.filler_headroom = FillerHeadroom(now, over, left)
     return room
 
 
-def worst_effect(image: str, share: float, runner: RunnerState, contention: Contention) -> float:
+def max_effect(image: str, share: float, runner: RunnerState, contention: ContentionModel) -> float:
     """Return the largest increase of any serving task's tail logarithm by a filler on a runner."""
     return max(
         (contention.weight(serving, image) * share for serving in runner.serving), default=0.0
@@ -252,7 +255,7 @@
 def _score_serving(
     request: PlacementRequest,
     runner: RunnerState,
-    contention: Contention,
+    contention: ContentionModel,
     now: float,
     first: tuple[float, ...],
 ) -> tuple[float, ...]:
@@ -264,22 +267,25 @@
     return (*first, -round(cost, 1), after)
 
 
-def filler_cores_taken(step: Step, runner: RunnerState, contention: Contention) -> float:
+def filler_cores_taken(step: Step, runner: RunnerState, contention: ContentionModel) -> float:
     """Return the processors that a serving task on a runner is likely to take from fillers, cores.
 
     A runner without serving tasks will receive more tasks of the image, so that only this task's
     part of what all of them take counts.
     """
-    taken = step.millicores * SERVING_USE / 1000.0
-    tolerated_with_task = contention.borne(frozenset((*runner.serving, step.image)))
+    taken = step.millicores * SERVING_USE_SHARE / 1000.0
+    tolerated_with_task = contention.tolerated_share(frozenset((*runner.serving, step.image)))
     idle = open_cores(runner)
     if not runner.serving:
         capacity_cores = runner.entry.room.millicores / 1000.0
         task_share = step.millicores / 1000.0 / max(capacity_cores, 0.001)
         return task_share * (
-            capacity_cores - capacity_cores * (1.0 - SERVING_USE) * tolerated_with_task
+            capacity_cores - capacity_cores * (1.0 - SERVING_USE_SHARE) * tolerated_with_task
         )
-    return idle * contention.borne(runner.serving_images) - (idle - taken) * tolerated_with_task
+    return (
+        idle * contention.tolerated_share(runner.serving_images)
+        - (idle - taken) * tolerated_with_task
+    )
 
 
 def open_cores(runner: RunnerState) -> float:
--- a/spoolcrank/peer_link.py
+++ b/spoolcrank/peer_link.py
@@ -76,7 +76,7 @@
         """Return the bound address, with the port that the kernel chose if 0 was given."""
         return Address(f"{self._server.host}:{self._server.port}")
 
-    def know(self, addresses: dict[InstanceId, Address]) -> None:
+    def update_addresses(self, addresses: dict[InstanceId, Address]) -> None:
         """Connect to the peers of the platform's list.
 
         Connections to peers that left the list or changed their address are closed.
@@ -90,11 +90,11 @@
                 self._outgoing[peer] = _Outgoing(self, peer, address)
                 self._outgoing[peer].dial()
 
-    def tell(self, peer: InstanceId, message: Message) -> bool:
+    def send(self, peer: InstanceId, message: Message) -> bool:
         """Send a message; return False if there is no connection, so that nothing was sent."""
         return self._send(peer, encode(self._instance_id, message))
 
-    def tell_many(self, peers: list[InstanceId], message: Message) -> None:
+    def broadcast(self, peers: list[InstanceId], message: Message) -> None:
         """Send a message to several peers, encoding it once; peers without a connection miss it."""
         frame = encode(self._instance_id, message)
         for peer in peers:
--- a/spoolcrank/unkept.py
+++ b/spoolcrank/pending_writes.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Unkept:
+class PendingWrites:
     """The contents of the next batch.
 
     Attributes:
@@ -48,6 +48,6 @@
     preassigned: list[BoundRun] = field(default_factory=list)
     other_records: list[KeyedRecord] = field(default_factory=list)
 
-    def change(self, job: JobId) -> None:
+    def add_changed_job(self, job: JobId) -> None:
         """Record that a job's progress has to be written again."""
         self.jobs[job] = None
--- a/spoolcrank/placement.py
+++ b/spoolcrank/placement.py
@@ -22,7 +22,7 @@
 _MAX_NEAREST_SHOWN = 2
 
 
-class Room(NamedTuple):
+class ServerCapacity(NamedTuple):
     """The capacity and state of one server on which tasks may be placed.
 
     Attributes:
@@ -122,7 +122,7 @@
     size: Resources,
     spec: JobSpec,
     failed_on: Iterable[InstanceId],
-    capacities: list[Room],
+    capacities: list[ServerCapacity],
     used_racks: dict[Rack, int],
     noisiness: NoisinessOf,
     may_wait: bool,
@@ -172,7 +172,9 @@
     return max(0, min(wanted, servers - 1))
 
 
-def _may_host(capacity: Room, spec: JobSpec, noisiness: NoisinessOf, policy: Policy) -> bool:
+def _may_host(
+    capacity: ServerCapacity, spec: JobSpec, noisiness: NoisinessOf, policy: Policy
+) -> bool:
     if capacity.batch and not capacity.sheltered:
         return True
     known = noisiness(capacity.server, spec.task_class)
@@ -189,11 +191,11 @@
     return Resources(whole.processors * share, whole.memory_mb * share, 0)
 
 
-def _free_for(capacity: Room, share: float) -> Resources:
+def _free_for(capacity: ServerCapacity, share: float) -> Resources:
     return capacity.free.minus(_share_of(capacity.whole, share))
 
 
-def _without_suspects(capacities: list[Room], spec: JobSpec) -> list[Room]:
+def _without_suspects(capacities: list[ServerCapacity], spec: JobSpec) -> list[ServerCapacity]:
     """Leave out suspect servers, unless the task may be used as a probe."""
     trusted = [capacity for capacity in capacities if not capacity.suspect]
     if not spec.repeatable or spec.job_class is not JobClass.BATCH:
@@ -202,7 +204,7 @@
 
 
 def _cost(
-    capacity: Room,
+    capacity: ServerCapacity,
     size: Resources,
     spec: JobSpec,
     failed_on: set[InstanceId],
--- a/spoolcrank/placing.py
+++ b/spoolcrank/placing.py
@@ -3,17 +3,23 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from spoolcrank.apart import place_apart, waits_apart, without_suspects
 from spoolcrank.binding import bind
-from spoolcrank.crash_record import own_marks, starts_apart
-from spoolcrank.filler_pace import make_way
+from spoolcrank.crash_history import independent_crashes, needs_isolation
+from spoolcrank.filler_pace import slow_fillers_for
 from spoolcrank.gangs import place_gang
 from spoolcrank.ids import ServiceName
+from spoolcrank.isolation import place_isolated, waits_for_isolation, without_suspects
 from spoolcrank.job_state import NO_RUNNER, JobState, StepState, TaskState
 from spoolcrank.mechanisms import Mechanism
 from spoolcrank.objective import Prospect, work_order
 from spoolcrank.packing import PlacementRequest, choose, slows_nothing
-from spoolcrank.placing_pass import MOST_WEIGHED, FillerRefusal, Kind, PlacingPass, PlacingResult
+from spoolcrank.placing_pass import (
+    MAX_PAIRS_PER_PART,
+    FillerRefusal,
+    Kind,
+    PlacingPass,
+    PlacingResult,
+)
 from spoolcrank.ranking import Ranking
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
@@ -57,7 +63,7 @@
         return
     share = min(1.0, (now - state.forecast_at) / FORECAST_DECAY_S)
     state.forecast_at = now
-    state.contention.expect(filler_mix(state))
+    state.contention.set_expected_fillers(filler_mix(state))
     demand = _short_running(state) + _short_waiting(state)
     state.short_demand += share * (demand - state.short_demand)
     usable = sum(1 for runner in state.runners.values() if runner.usable(now))
@@ -136,7 +142,7 @@
     if state.starts.held_back and not current.spent:
         in_time = any(rank[3][0] <= Prospect.FRESH for rank, job in ready if not job.lasting)
         interval_s = TURN_INTERVAL_S if in_time else LATE_TURN_INTERVAL_S
-        if now - state.starts.turn_at >= interval_s:
+        if now - state.starts.last_turn_at >= interval_s:
             _give_turn(state, pools, current, now)
     for rank, job in ready:
         _place_job(state, job, Prospect(max(0, rank[3][0])), pools, current, now)
@@ -176,12 +182,12 @@
     late = [job for job in waiting if not job.lasting and now - job.started_at >= TURN_WAIT_S]
     if not late:
         return
-    state.starts.turn_at = now
+    state.starts.last_turn_at = now
     # A budget of one byte ends this pass with its first start.
     turn = PlacingPass(bytes_left=1.0)
     job = min(late, key=lambda late_job: late_job.started_at)
     _place_job(state, job, Prospect.HOPELESS, pools, turn, now)
-    current.pairs_left -= MOST_WEIGHED - turn.pairs_left
+    current.pairs_left -= MAX_PAIRS_PER_PART - turn.pairs_left
     current.bytes_left -= 1.0 - turn.bytes_left
 
 
@@ -304,10 +310,10 @@
             task=key,
             service=state.service_of(job),
         )
-        if starts_apart(task.crashes):
+        if needs_isolation(task.crashes):
             current.pairs_left -= len(runners)
-            runner = place_apart(state, key, task, request, runners, now)
-            if runner is None and not waits_apart(task, now):
+            runner = place_isolated(state, key, task, request, runners, now)
+            if runner is None and not waits_for_isolation(task, now):
                 runner = _choose_for_rerun(state, task, request, runners, now)
             if runner is None:
                 # Other tasks of the step need no exclusive runner and may still find a place.
@@ -330,7 +336,7 @@
         bind(state, job, key, task.run + 1, runner, now)
         current.bytes_left -= state.start_bytes(key)
         if step.spec.target_ms and state.uses(Mechanism.YIELDING):
-            make_way(state, runner, step.spec.image, now)
+            slow_fillers_for(state, runner, step.spec.image, now)
         if ranking is not None:
             ranking.rescore_best()
     return PlacingResult.HELD_BACK if held_back else PlacingResult.ALL
@@ -344,7 +350,7 @@
     now: float,
 ) -> RunnerState | None:
     """Return the runner for a task that ran before; a suspect prefers one without suspects."""
-    if own_marks(task.crashes):
+    if independent_crashes(task.crashes):
         found = _choose_destination(state, task, request, without_suspects(runners), now)
         if found is not None:
             return found
@@ -367,7 +373,7 @@
     if found is None and request.step.lasting and task.run:
         # A quarantined runner is better than none for a lasting task that has to resume: the
         # task itself may have caused its runner's failure.
-        quarantined_runners = state.distrusted(request.service, now)
+        quarantined_runners = state.quarantined(request.service, now)
         found = choose(request, quarantined_runners, state.contention, now)
     return found
 
--- a/spoolcrank/placing_pass.py
+++ b/spoolcrank/placing_pass.py
@@ -12,7 +12,7 @@
 Kind = tuple[ServiceName, str]
 """A service and an image: tasks of one kind compete for the same capacity."""
 
-MOST_WEIGHED = 20_000
+MAX_PAIRS_PER_PART = 20_000
 """Number of pairs of task and runner that one part of a pass may evaluate; the leader handles what
 has arrived meanwhile before the next part. At 6 microseconds a pair, a part takes 0.12 s on a whole
 core and 0.4 s on the smallest instance. Without parts, 2,128 tasks over 350 runners took 4.5 s
@@ -56,7 +56,7 @@
             steps again, so that each part gets further than the previous one.
     """
 
-    pairs_left: int = MOST_WEIGHED
+    pairs_left: int = MAX_PAIRS_PER_PART
     bytes_left: float = math.inf
     misses: dict[Kind, int] = field(default_factory=dict)
     claimed: dict[Kind, Prospect] = field(default_factory=dict)
@@ -64,7 +64,7 @@
 
     def begin_part(self, bytes_left: float = math.inf) -> None:
         """Reset the limits and misses for the next part."""
-        self.pairs_left = MOST_WEIGHED
+        self.pairs_left = MAX_PAIRS_PER_PART
         self.bytes_left = bytes_left
         self.misses.clear()
 
--- a/spoolcrank/planned_stop.py
+++ b/spoolcrank/planned_stop.py
@@ -16,7 +16,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from spoolcrank.job_intake import LONGEST_ANSWER_S
+from spoolcrank.job_intake import MAX_ANSWER_S
 
 INTAKE_END_S = 2.5
 """Time from the stop signal until intake ends, in seconds.
@@ -92,7 +92,7 @@
     """
     end_s = max(0.0, grace_s - EXIT_MARGIN_S)
     answers_end_s = max(0.0, end_s - SEND_ALLOWANCE_S)
-    max_answer_s = LONGEST_ANSWER_S + LOOP_LAG_ALLOWANCE_S
+    max_answer_s = MAX_ANSWER_S + LOOP_LAG_ALLOWANCE_S
     intake_end_s = max(0.0, min(INTAKE_END_S, answers_end_s - max_answer_s))
     idle_end_s = min(answers_end_s, intake_end_s + IDLE_CONNECTION_GRACE_S)
     return StopTimes(intake_end_s, idle_end_s, answers_end_s, end_s)
