--- a/spoolcrank/platform/clients.py
+++ b/spoolcrank/platform/clients.py
@@ -6,11 +6,11 @@
 
 from spoolcrank._web import HttpReply, HttpRequest, Reply, json_reply, refusal_reply
 from spoolcrank.errors import ErrorKind, Refusal, SpoolcrankError
-from spoolcrank.figures import Figures
 from spoolcrank.ids import JobId
 from spoolcrank.job_intake import IntakeOutcome, JobIntake
-from spoolcrank.open_requests import Asked, OpenRequests, Waits
+from spoolcrank.open_requests import OpenRequest, OpenRequests, WaitReason
 from spoolcrank.platform.documents import workflow_of
+from spoolcrank.prometheus_metrics import PrometheusMetrics
 from spoolcrank.routes import Route, RouteTable
 from spoolcrank.telemetry import Telemetry
 from spoolcrank.workflow import JobPhase, JobRecord
@@ -32,7 +32,7 @@
         routes: Callable[[], RouteTable | None],
         confirm: Callable[[Callable[[bool], None]], None],
         telemetry: Telemetry,
-        metrics: Figures,
+        metrics: PrometheusMetrics,
     ) -> None:
         self._metrics = metrics
         self._intake = intake
@@ -43,7 +43,7 @@
 
     def answer(self, req: HttpRequest, reply: Reply) -> None:
         """Answer one request, at once or when the store has answered."""
-        open_request = Asked(req, reply, time.monotonic())
+        open_request = OpenRequest(req, reply, time.monotonic())
         self.open_requests.begin(open_request)
         try:
             self._dispatch(open_request)
@@ -52,14 +52,14 @@
             self.open_requests.end(open_request)
             raise
 
-    def _reply(self, open_request: Asked, answer: HttpReply) -> None:
+    def _reply(self, open_request: OpenRequest, answer: HttpReply) -> None:
         if not self.open_requests.end(open_request):
             return
-        duration_s = time.monotonic() - open_request.came_at
+        duration_s = time.monotonic() - open_request.received_at
         self._metrics.time(f"{open_request.request.method} {answer.status}", duration_s)
         open_request.reply(answer)
 
-    def _dispatch(self, open_request: Asked) -> None:
+    def _dispatch(self, open_request: OpenRequest) -> None:
         req = open_request.request
         table = self._routes()
         if table is None:
@@ -71,7 +71,7 @@
         else:
             self._on_route(open_request, route)
 
-    def _refuse_unknown_route(self, open_request: Asked) -> None:
+    def _refuse_unknown_route(self, open_request: OpenRequest) -> None:
         """Refuse a request for an unknown queue after checking for a newer configuration."""
 
         def on_confirmed(ok: bool) -> None:
@@ -89,10 +89,10 @@
                 f"no queue for this path in configuration version {version}{caveat}",
             )
 
-        open_request.waits = Waits.READ
+        open_request.waits = WaitReason.READ
         self._confirm(on_confirmed)
 
-    def _on_route(self, open_request: Asked, route: Route) -> None:
+    def _on_route(self, open_request: OpenRequest, route: Route) -> None:
         req = open_request.request
         name = req.path[len(route.prefix) :]
         if not name and req.method == "GET":
@@ -104,17 +104,17 @@
         else:
             self._on_job(open_request, route, JobId(name))
 
-    def _reply_waiting_count(self, open_request: Asked, route: Route) -> None:
+    def _reply_waiting_count(self, open_request: OpenRequest, route: Route) -> None:
         def on_result(count: int | ErrorKind) -> None:
             if isinstance(count, ErrorKind):
                 self._reply_lookup_failure(open_request, count)
             else:
                 self._reply(open_request, json_reply(200, {"waiting": count}))
 
-        open_request.waits = Waits.READ
+        open_request.waits = WaitReason.READ
         self._intake.waiting(route.name, on_result)
 
-    def _on_job(self, open_request: Asked, route: Route, job: JobId) -> None:
+    def _on_job(self, open_request: OpenRequest, route: Route, job: JobId) -> None:
         method = open_request.request.method
         if method == "POST":
             self._submit(open_request, route, job)
@@ -125,7 +125,7 @@
         else:
             self._refuse(open_request, ErrorKind.METHOD_NOT_ALLOWED, method)
 
-    def _submit(self, open_request: Asked, route: Route, job: JobId) -> None:
+    def _submit(self, open_request: OpenRequest, route: Route, job: JobId) -> None:
         try:
             workflow = workflow_of(open_request.request.body)
         except SpoolcrankError as exc:
@@ -143,17 +143,17 @@
         )
 
         def on_stored(outcome: IntakeOutcome) -> None:
-            if outcome is IntakeOutcome.KEPT:
+            if outcome is IntakeOutcome.STORED:
                 self._telemetry.log("job-accepted", job=job, route=route.name)
                 self._reply(open_request, json_reply(200, {}))
             else:
                 self._refuse_not_stored(open_request, outcome)
 
-        open_request.waits = Waits.APPEND
+        open_request.waits = WaitReason.APPEND
         self._intake.submit(job, record, on_stored)
 
-    def _refuse_not_stored(self, open_request: Asked, outcome: IntakeOutcome) -> None:
-        if outcome is IntakeOutcome.NOT_KEPT:
+    def _refuse_not_stored(self, open_request: OpenRequest, outcome: IntakeOutcome) -> None:
+        if outcome is IntakeOutcome.NOT_STORED:
             self._refuse(
                 open_request, ErrorKind.LOG_UNAVAILABLE, "the store did not accept the record"
             )
@@ -166,29 +166,29 @@
                 "the store did not confirm the record, but may have stored it",
             )
 
-    def _reply_state(self, open_request: Asked, job: JobId) -> None:
+    def _reply_state(self, open_request: OpenRequest, job: JobId) -> None:
         def on_result(phase: JobPhase | ErrorKind) -> None:
             if isinstance(phase, JobPhase):
                 self._reply(open_request, json_reply(200, {"state": phase.value}))
             else:
                 self._reply_lookup_failure(open_request, phase)
 
-        open_request.waits = Waits.READ
+        open_request.waits = WaitReason.READ
         self._intake.state(job, on_result)
 
-    def _reply_lookup_failure(self, open_request: Asked, kind: ErrorKind) -> None:
+    def _reply_lookup_failure(self, open_request: OpenRequest, kind: ErrorKind) -> None:
         if kind is ErrorKind.NO_SUCH_JOB:
             req = open_request.request
-            self._telemetry.log("job-unknown", grave=True, method=req.method, path=req.path)
+            self._telemetry.log("job-unknown", important=True, method=req.method, path=req.path)
             self._reply(open_request, _GONE)
         elif kind is ErrorKind.LEAVING:
             self._refuse(open_request, kind, _LEAVING_DETAIL)
         else:
             self._refuse(open_request, kind, "the store does not answer")
 
-    def _cancel(self, open_request: Asked, job: JobId) -> None:
+    def _cancel(self, open_request: OpenRequest, job: JobId) -> None:
         def on_result(outcome: IntakeOutcome | ErrorKind) -> None:
-            if outcome is IntakeOutcome.KEPT:
+            if outcome is IntakeOutcome.STORED:
                 self._telemetry.log("cancel-accepted", job=job)
                 self._reply(open_request, json_reply(200, {}))
             elif isinstance(outcome, IntakeOutcome):
@@ -196,14 +196,14 @@
             else:
                 self._reply_lookup_failure(open_request, outcome)
 
-        open_request.waits = Waits.READ_THEN_APPEND
+        open_request.waits = WaitReason.READ_THEN_APPEND
         self._intake.cancel(job, on_result)
 
     def give_up(self) -> int:
         """Refuse all requests that still wait for the store, and return their number."""
         waiting = self.open_requests.oldest_first()
         for open_request in waiting:
-            if open_request.waits is Waits.READ:
+            if open_request.waits is WaitReason.READ:
                 self._refuse(open_request, ErrorKind.LOG_UNAVAILABLE, "the store does not answer")
             else:
                 self._refuse(
@@ -213,10 +213,15 @@
                 )
         return len(waiting)
 
-    def _refuse(self, open_request: Asked, kind: ErrorKind, detail: str) -> None:
+    def _refuse(self, open_request: OpenRequest, kind: ErrorKind, detail: str) -> None:
         req = open_request.request
         self._telemetry.log(
-            "refused", grave=True, kind=kind.value, detail=detail, method=req.method, path=req.path
+            "refused",
+            important=True,
+            kind=kind.value,
+            detail=detail,
+            method=req.method,
+            path=req.path,
         )
         retry_after_s = RETRY_AFTER_S if kind in _RETRYABLE else 0.0
         self._reply(open_request, refusal_reply(Refusal(kind, detail, retry_after_s=retry_after_s)))
--- a/spoolcrank/platform/daemon.py
+++ b/spoolcrank/platform/daemon.py
@@ -9,9 +9,9 @@
 
 from spoolcrank._runtime import Runtime
 from spoolcrank._web import HttpReply, HttpRequest, Reply
+from spoolcrank.decoding import Unreadable
 from spoolcrank.dispatcher import Dispatcher
 from spoolcrank.errors import SettingsError
-from spoolcrank.figures import TEXT_TYPE, Figures
 from spoolcrank.ids import Address, Incarnation, unique
 from spoolcrank.instance_stop import InstanceStop
 from spoolcrank.job_index import JobIndex
@@ -22,11 +22,11 @@
 from spoolcrank.mechanisms import Mechanism, switched_off
 from spoolcrank.planned_stop import stop_times
 from spoolcrank.platform.clients import ClientApi
-from spoolcrank.platform.documents import configuration_of, emptied_zones, runner_of
+from spoolcrank.platform.documents import configuration_of, evacuated_zones, runner_of
 from spoolcrank.platform.runners import PlatformRunners
 from spoolcrank.platform.settings import FILE_VARIABLE, PlatformSettings, read_settings
 from spoolcrank.platform.store import StoreLog
-from spoolcrank.reading import Unreadable
+from spoolcrank.prometheus_metrics import TEXT_TYPE, PrometheusMetrics
 from spoolcrank.routes import RouteTable
 from spoolcrank.runner_state import LEASE_MS
 from spoolcrank.scheduler import RoutePolicy
@@ -68,7 +68,7 @@
         self._routes: RouteTable | None = None
         self._stopping = False
         timers, http = runtime.timers, runtime.http
-        self.metrics = Figures()
+        self.metrics = PrometheusMetrics()
         self.telemetry = Telemetry(timers, cfg.instance_id)
         self.telemetry.count = self.metrics.count
         self._contacted_at = -STORE_CONTACT_TIMEOUT_S
@@ -108,7 +108,7 @@
         runtime.on_stop(self._stop)
         self.telemetry.log(
             "start",
-            grave=True,
+            important=True,
             incarnation=incarnation,
             clients=cfg.clients,
             without=sorted(mechanism.value for mechanism in without),
@@ -118,7 +118,7 @@
 
     def _open_log(self, name: str) -> StoreLog:
         def on_unreadable(why: str) -> None:
-            self.telemetry.log("item-unreadable", grave=True, log=name, why=why)
+            self.telemetry.log("item-unreadable", important=True, log=name, why=why)
 
         return StoreLog(self._runtime.http, self._cfg.store, name, on_unreadable)
 
@@ -127,10 +127,10 @@
     ) -> LogFollower:
         def on_contact(contact: bool, detail: str) -> None:
             event = "store-regained" if contact else "store-lost"
-            self.telemetry.log(event, grave=True, log=name, detail=detail)
+            self.telemetry.log(event, important=True, log=name, detail=detail)
 
         def on_error(trace: str) -> None:
-            self.telemetry.log("internal-error", grave=True, log=name, trace=trace)
+            self.telemetry.log("internal-error", important=True, log=name, trace=trace)
 
         timers = self._runtime.timers
         return LogFollower(log, timers, time.monotonic, on_records, on_contact, on_error)
@@ -139,11 +139,11 @@
 
     def _on_job_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
-            self.index.take(record)
+            self.index.apply_record(record)
         self.dispatcher.on_news(records)
 
     def _on_operator_records(self, records: list[KeyedRecord]) -> None:
-        self.dispatcher.empty_zones(emptied_zones(self._configuration.copy))
+        self.dispatcher.evacuate_zones(evacuated_zones(self._configuration.copy))
         for record in records:
             if record.key != _CONFIGURATION_KEY or not record.value:
                 continue
@@ -152,14 +152,14 @@
             except Unreadable as exc:
                 # The previous configuration stays in force, with all its routes.
                 self.telemetry.log(
-                    "configuration-refused", grave=True, offset=record.offset, why=str(exc)
+                    "configuration-refused", important=True, offset=record.offset, why=str(exc)
                 )
                 continue
             self._on_configuration(table, record.offset)
 
     def _on_unreadable(self, record: KeyedRecord, why: str) -> None:
         self.telemetry.log(
-            "record-unreadable", grave=True, key=record.key, offset=record.offset, why=why
+            "record-unreadable", important=True, key=record.key, offset=record.offset, why=why
         )
 
     def _on_configuration(self, table: RouteTable, offset: int) -> None:
@@ -173,7 +173,7 @@
         self.dispatcher.set_routes(policies)
         self.telemetry.log(
             "configuration",
-            grave=True,
+            important=True,
             version=table.version,
             offset=offset,
             routes=len(table.routes),
@@ -181,7 +181,7 @@
 
     def _on_runner_entries(self, records: list[KeyedRecord]) -> None:
         # Runs even if no record could be read: with this page the list may have become complete.
-        self.dispatcher.on_runner_news(self._runners.copy)
+        self.dispatcher.on_runner_entries(self._runners.copy)
 
     # Readiness, metrics and shutdown
 
@@ -239,9 +239,9 @@
         try:
             cfg = read_settings(os.environ[FILE_VARIABLE])
         except SettingsError as exc:
-            self.telemetry.log("reload-failed", grave=True, why=str(exc))
+            self.telemetry.log("reload-failed", important=True, why=str(exc))
             return
-        self.telemetry.log("reload", grave=True, changed=cfg != self._cfg)
+        self.telemetry.log("reload", important=True, changed=cfg != self._cfg)
         self._cfg = cfg._replace(clients=self._cfg.clients, ready=self._cfg.ready)
 
 
--- a/spoolcrank/platform/documents.py
+++ b/spoolcrank/platform/documents.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
+from spoolcrank.decoding import Unreadable, raises_unreadable
 from spoolcrank.errors import ErrorKind, Refusal, SpoolcrankError
 from spoolcrank.ids import Address, AvailabilityZone, ServiceName
 from spoolcrank.keyed_log import KeyedLog
-from spoolcrank.reading import Unreadable, reader
 from spoolcrank.routes import Route, RouteTable
 from spoolcrank.runner_ids import START_MARK, RunnerName, runner_id
 from spoolcrank.runner_state import RunnerEntry
@@ -108,7 +108,7 @@
 _decode_job = msgspec.json.Decoder(_Job).decode
 
 
-@reader
+@raises_unreadable
 def configuration_of(value: bytes) -> RouteTable:
     """Decode the operator's configuration; raise Unreadable if any part of it is invalid."""
     raw = _decode_configuration(value)
@@ -130,7 +130,7 @@
     return RouteTable(raw.version, routes)
 
 
-def emptied_zones(copy: KeyedLog) -> frozenset[AvailabilityZone]:
+def evacuated_zones(copy: KeyedLog) -> frozenset[AvailabilityZone]:
     """Return the zones that the operator evacuates: no new runs may start in them."""
     return frozenset(
         AvailabilityZone(key.removeprefix(_EVACUATION_PREFIX))
@@ -155,7 +155,7 @@
     )
 
 
-@reader
+@raises_unreadable
 def _server_of(value: bytes) -> _Server:
     if len(value) > MAX_ENTRY_BYTES:
         raise ValueError(f"{len(value)} bytes exceed the maximum size of an entry")
--- a/spoolcrank/platform/runners.py
+++ b/spoolcrank/platform/runners.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from spoolcrank._http import HttpCall, HttpClient, HttpResult
+from spoolcrank.decoding import Unreadable, raises_unreadable
 from spoolcrank.ids import JobId
 from spoolcrank.orders import (
     Answered,
@@ -20,9 +21,8 @@
     Stop,
     Target,
 )
-from spoolcrank.reading import Unreadable, reader
 from spoolcrank.runner_ids import answers_for, name_of, runner_id
-from spoolcrank.runner_port import Polled
+from spoolcrank.runner_port import PollResult
 from spoolcrank.workflow import RunnerId, TaskKey
 
 Row = TypeVar("Row")
@@ -70,7 +70,7 @@
     run: _Number
     saved: str
     percent: float
-    figure: float | None = None
+    measurement: float | None = None
 
 
 class _Ended(msgspec.Struct, array_like=True):
@@ -99,12 +99,12 @@
     ended: list[msgspec.Raw] = []
 
 
-_decode_order = reader(msgspec.json.Decoder(_OrderAnswer).decode)
+_decode_order = raises_unreadable(msgspec.json.Decoder(_OrderAnswer).decode)
 _decode_hold = msgspec.json.Decoder(_HoldAnswer).decode
-_decode_hold_rows = reader(msgspec.json.Decoder(_HoldRows).decode)
+_decode_hold_rows = raises_unreadable(msgspec.json.Decoder(_HoldRows).decode)
 _decode_running = msgspec.json.Decoder(_Running).decode
 _decode_ended = msgspec.json.Decoder(_Ended).decode
-_decode_number = reader(msgspec.json.Decoder(_NumberOnly).decode)
+_decode_number = raises_unreadable(msgspec.json.Decoder(_NumberOnly).decode)
 _encode = msgspec.json.Encoder().encode
 
 
@@ -155,7 +155,7 @@
         }
         self._order(order.target, "pace", body, done)
 
-    def poll(self, order: Poll, done: Callable[[Polled], None]) -> None:
+    def poll(self, order: Poll, done: Callable[[PollResult], None]) -> None:
         """Ask a runner for its running and ended runs; a deadline in the poll renews its lease."""
         base_body: dict[str, Any] = {"fence": order.target.fence, "lastSeen": 0}
         body = base_body | {"lastSeen": order.seen}
@@ -198,15 +198,15 @@
         body: dict[str, Any],
         timeout_s: float,
         done: Callable[[HttpResult], None],
-        again_s: float | None = None,
-        to_others: bytes | None = None,
+        resend_after_s: float | None = None,
+        body_for_unknown_peer: bytes | None = None,
     ) -> None:
         headers = {
             "Content-Type": "application/json",
             "Spoolcrank-Expect-Instance": name_of(target.runner),
         }
         # Connections known to reach a certain incarnation are reserved for its polls.
-        peer = target.runner if to_others is not None else ""
+        peer = target.runner if body_for_unknown_peer is not None else ""
         self._http.send(
             HttpCall(
                 target.address,
@@ -215,9 +215,9 @@
                 headers,
                 _encode(body),
                 timeout_s,
-                again_s=again_s,
+                resend_after_s=resend_after_s,
                 peer=peer,
-                to_others=to_others,
+                body_for_unknown_peer=body_for_unknown_peer,
             ),
             done,
         )
@@ -252,22 +252,22 @@
     return Answered(result)
 
 
-def _poll_result(requested: RunnerId, response: HttpResult) -> Polled:
+def _poll_result(requested: RunnerId, response: HttpResult) -> PollResult:
     result = _result_of(response)
     if result is not OrderResult.DONE:
-        return Polled(result)
+        return PollResult(result)
     try:
-        return Polled(result, _decode_report(requested, response.body))
+        return PollResult(result, _decode_report(requested, response.body))
     except Unreadable:
         pass
     try:
-        return Polled(result, _decode_report_by_rows(requested, response.body))
+        return PollResult(result, _decode_report_by_rows(requested, response.body))
     except Unreadable:
         # The answer says nothing about the runner's runs, so it counts as no answer.
-        return Polled(OrderResult.UNKNOWN)
+        return PollResult(OrderResult.UNKNOWN)
 
 
-@reader
+@raises_unreadable
 def _decode_report(requested: RunnerId, body: bytes) -> Report:
     answer = _decode_hold(body)
     running = tuple(map(_to_running_row, answer.running))
@@ -312,15 +312,17 @@
 
 
 def _to_running_row(row: _Running) -> RunningRow:
-    return RunningRow(_task_key(row.task), row.run, row.saved, int(row.percent), row.figure or 0.0)
+    return RunningRow(
+        _task_key(row.task), row.run, row.saved, int(row.percent), row.measurement or 0.0
+    )
 
 
 def _to_ended_row(row: _Ended) -> EndedRow:
     return EndedRow(row.number, _task_key(row.task), row.run, row.how, row.saved)
 
 
-_decode_running_row = reader(lambda raw: _to_running_row(_decode_running(raw)))
-_decode_ended_row = reader(lambda raw: _to_ended_row(_decode_ended(raw)))
+_decode_running_row = raises_unreadable(lambda raw: _to_running_row(_decode_running(raw)))
+_decode_ended_row = raises_unreadable(lambda raw: _to_ended_row(_decode_ended(raw)))
 
 
 def _decode_numbers(raw_rows: list[bytes]) -> tuple[int, ...]:
--- a/spoolcrank/platform/store.py
+++ b/spoolcrank/platform/store.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from spoolcrank._http import HttpCall, HttpClient, HttpResult
+from spoolcrank.decoding import Unreadable, raises_unreadable
 from spoolcrank.ids import Address
 from spoolcrank.keyed_log import KeyedRecord
-from spoolcrank.read_window import MOST_KB, ReadWindow
-from spoolcrank.reading import Unreadable, reader
+from spoolcrank.read_window import MAX_READ_KB, ReadWindow
 from spoolcrank.store_port import (
-    CALL_S,
+    CALL_TIMEOUT_S,
     Append,
     Appended,
     AppendOutcome,
@@ -59,9 +59,9 @@
     end: int = 0
 
 
-_decode_append = reader(msgspec.json.Decoder(_AppendAnswer).decode)
-_decode_newest = reader(msgspec.json.Decoder(_NewestAnswer).decode)
-_decode_item = reader(msgspec.json.Decoder(_Item).decode)
+_decode_append = raises_unreadable(msgspec.json.Decoder(_AppendAnswer).decode)
+_decode_newest = raises_unreadable(msgspec.json.Decoder(_NewestAnswer).decode)
+_decode_item = raises_unreadable(msgspec.json.Decoder(_Item).decode)
 
 
 def _ignore_unreadable(why: str) -> None:
@@ -115,16 +115,16 @@
         def on_response(response: HttpResult) -> None:
             records = _decode_records(response, from_offset)
             if records.outcome is ReadOutcome.FAILED:
-                self._window.failed()
+                self._window.record_failure()
             elif records.end > from_offset + len(records.records):
-                self._window.full(self._clock() - asked_at)
+                self._window.record_full_answer(self._clock() - asked_at)
             if records.records or records.end <= from_offset:
                 done(records)
             else:
                 # The next record alone exceeds the read size, so ask for the maximum.
                 self._request_records(
                     from_offset,
-                    MOST_KB,
+                    MAX_READ_KB,
                     0,
                     lambda response: done(_decode_records(response, from_offset)),
                 )
@@ -184,15 +184,24 @@
         done: Callable[[HttpResult], None],
     ) -> None:
         path = f"/api/{call}?{urlencode(query)}"
-        timeout_s = CALL_S + wait_ms / 1000.0
+        timeout_s = CALL_TIMEOUT_S + wait_ms / 1000.0
         # A read is timed by its pauses, not as a whole: an instance that gave up a large answer
         # midway would request it again forever.
-        quiet_s = CALL_S if method == "GET" else None
-        again_s = (
+        max_pause_s = CALL_TIMEOUT_S if method == "GET" else None
+        resend_after_s = (
             RESEND_AFTER_S + wait_ms / 1000.0 if method == "GET" or "producer" in query else None
         )
         self._http.send(
-            HttpCall(self._address, method, path, _NO_HEADERS, body, timeout_s, quiet_s, again_s),
+            HttpCall(
+                self._address,
+                method,
+                path,
+                _NO_HEADERS,
+                body,
+                timeout_s,
+                max_pause_s,
+                resend_after_s,
+            ),
             done,
         )
 
@@ -238,19 +247,19 @@
 
 def _append_result(response: HttpResult) -> Appended:
     if response.failed is not None:
-        outcome = AppendOutcome.UNKNOWN if response.sent else AppendOutcome.NOT_KEPT
+        outcome = AppendOutcome.UNKNOWN if response.sent else AppendOutcome.NOT_STORED
         return Appended(outcome, detail=response.failed.value)
     if response.status == 412:
-        return Appended(AppendOutcome.MOVED, detail="412")
+        return Appended(AppendOutcome.OFFSET_MISMATCH, detail="412")
     detail = f"{response.status} {response.body[:200]!r}"
     if response.status not in (200, 409):
-        return Appended(AppendOutcome.NOT_KEPT, detail=detail)
+        return Appended(AppendOutcome.NOT_STORED, detail=detail)
     try:
         answer = _decode_append(response.body)
     except Unreadable:
         return Appended(AppendOutcome.UNKNOWN, detail=detail)
     if response.status == 200:
-        return Appended(AppendOutcome.KEPT, answer.offset)
+        return Appended(AppendOutcome.STORED, answer.offset)
     return Appended(_APPEND_REFUSALS.get(answer.reason, AppendOutcome.UNKNOWN), detail=detail)
 
 
--- a/spoolcrank/polling.py
+++ b/spoolcrank/polling.py
@@ -118,7 +118,7 @@
     Until it does, it carries out orders that were meant for its earlier incarnation.
     """
     restarted = (
-        runner.rank > 0 and not runner.adopted and now - runner.met_at <= FENCE_POLL_PERIOD_S
+        runner.rank > 0 and not runner.adopted and now - runner.first_seen_at <= FENCE_POLL_PERIOD_S
     )
     return restarted and now - runner.polled_at >= FENCE_POLL_INTERVAL_S
 
--- a/spoolcrank/preassignment.py
+++ b/spoolcrank/preassignment.py
@@ -12,10 +12,10 @@
 from collections.abc import Iterator
 
 from spoolcrank.binding import bind, preassign
-from spoolcrank.crash_record import own_marks
+from spoolcrank.crash_history import independent_crashes
 from spoolcrank.job_state import NO_RUNNER, JobState, StepState
 from spoolcrank.objective import work_order
-from spoolcrank.packing import PlacementRequest, choose, could_ever_hold, worst_effect
+from spoolcrank.packing import PlacementRequest, choose, could_ever_hold, max_effect
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL, RunnerId, Step, TaskKey
@@ -42,7 +42,7 @@
 task would usually be killed while running. With leases of 7.5 s the limit also stops starts about
 6 s after the last read of the list of runners, which shows whether a runner leaves."""
 
-RECORDS_LATE_S = 0.12
+LATE_RECORD_S = 0.12
 """Time after which a record that is not stored is late, seconds: thirty times the usual response
 time of the store. Preassigned tasks then start first."""
 
@@ -133,7 +133,7 @@
     effect = 0.0
     if step.fills:
         share = runner.share(step.millicores)
-        effect = worst_effect(step.image, share, runner, state.contention)
+        effect = max_effect(step.image, share, runner, state.contention)
     return (-round(effect, 1), -preassigned_count, float(runner.idle_millicores))
 
 
@@ -154,7 +154,7 @@
             if any(round_state.steps[earlier].waiting for earlier in spec.after):
                 continue
             for index in step.waiting:
-                if not own_marks(step.tasks[index].crashes):
+                if not independent_crashes(step.tasks[index].crashes):
                     # The runner of a suspect task is chosen only when it starts.
                     yield TaskKey(job.id, round_state.number, number, index), step
 
@@ -176,7 +176,7 @@
 def _runner_now(state: Scheduler, job: JobState, key: TaskKey, now: float) -> RunnerState | None:
     """Return the preassigned runner of a task, or None if the task may not start there now."""
     task = job.task(key)
-    runner = state.runners.get(task.preassigned) if task.preassigned_kept else None
+    runner = state.runners.get(task.preassigned) if task.preassigned_stored else None
     if runner is None or not runner.usable(now) or task.not_before > now:
         return None
     if runner.entry.service != state.service_of(job):
--- a/spoolcrank/figures.py
+++ b/spoolcrank/prometheus_metrics.py
@@ -27,7 +27,7 @@
             yield upper_bound, cumulative
 
 
-class Figures:
+class PrometheusMetrics:
     """The counters, gauges and histograms of one process."""
 
     def __init__(self) -> None:
--- a/spoolcrank/ranking.py
+++ b/spoolcrank/ranking.py
@@ -10,7 +10,7 @@
 from bisect import insort
 from collections.abc import Sequence
 
-from spoolcrank.contention import Contention
+from spoolcrank.contention import ContentionModel
 from spoolcrank.packing import PlacementRequest, score
 from spoolcrank.runner_state import RunnerState
 
@@ -26,7 +26,7 @@
         self,
         request: PlacementRequest,
         runners: Sequence[RunnerState],
-        contention: Contention,
+        contention: ContentionModel,
         now: float,
     ) -> None:
         self._request = request
--- a/spoolcrank/read_window.py
+++ b/spoolcrank/read_window.py
@@ -9,7 +9,7 @@
 """The smallest size of a read, kB. When 24 instances of a region read this much at once, they
 occupy a link of 30 Mbit/s for 0.2 s, a third of the time that an order waits for its answer."""
 
-MOST_KB = 320
+MAX_READ_KB = 320
 """The largest size of a read, kB: more than the largest record (256 kB)."""
 
 FAST_ANSWER_S = 0.1
@@ -26,13 +26,13 @@
     def __init__(self) -> None:
         self.kb = MIN_READ_KB
 
-    def full(self, took_s: float) -> None:
+    def record_full_answer(self, took_s: float) -> None:
         """Adjust the window after an answer that left further records unread."""
         if took_s <= FAST_ANSWER_S:
-            self.kb = min(MOST_KB, self.kb * 2)
+            self.kb = min(MAX_READ_KB, self.kb * 2)
         elif took_s > SLOW_ANSWER_S:
             self.kb = max(MIN_READ_KB, self.kb // 2)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Reset the window to its minimum after a read without an answer."""
         self.kb = MIN_READ_KB
--- a/spoolcrank/regrouping.py
+++ b/spoolcrank/regrouping.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from spoolcrank.contention import Contention
+from spoolcrank.contention import ContentionModel
 from spoolcrank.exchanges import MIN_STAY_S, Move, exchange_tasks, is_running
 from spoolcrank.packing import open_cores
-from spoolcrank.runner_state import SERVING_USE, RunnerState
+from spoolcrank.runner_state import SERVING_USE_SHARE, RunnerState
 from spoolcrank.runs import Run
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL, Demand, RunnerId, Step, TaskKey
@@ -171,13 +171,13 @@
     return bool(keys)
 
 
-def _filler_capacity(contention: Contention, idle: float, images: Iterable[str]) -> float:
-    return max(0.0, idle) * contention.borne(frozenset(images))
+def _filler_capacity(contention: ContentionModel, idle: float, images: Iterable[str]) -> float:
+    return max(0.0, idle) * contention.tolerated_share(frozenset(images))
 
 
 def _expected_use(millicores: int) -> float:
     """Return the expected processor use of serving tasks that request `millicores`, cores."""
-    return millicores * SERVING_USE / 1000.0
+    return millicores * SERVING_USE_SHARE / 1000.0
 
 
 def _relocations(
@@ -232,7 +232,7 @@
 
 
 def _capacity_lost(
-    contention: Contention, destination: RunnerState, image: str, run: Run, before: int
+    contention: ContentionModel, destination: RunnerState, image: str, run: Run, before: int
 ) -> float:
     """Return the cores of filler capacity lost by one more task after `before` of its group."""
     taken = _expected_use(run.demand.millicores)
@@ -260,7 +260,7 @@
                 )
 
 
-def _swap_gain(contention: Contention, first: _Group, second: _Group) -> float:
+def _swap_gain(contention: ContentionModel, first: _Group, second: _Group) -> float:
     gain = 0.0
     for leaving, arriving in ((first, second), (second, first)):
         runner = leaving.runner
--- a/spoolcrank/replay.py
+++ b/spoolcrank/replay.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from spoolcrank import _wire, membership, policy, tenure
+from spoolcrank import _wire, membership, ownership_transfer, policy
 from spoolcrank import core as decisions
 from spoolcrank.fleet import Instance
 from spoolcrank.ids import (
@@ -93,7 +93,9 @@
             return decisions.on_refused(core, InstanceId(trace_input["server"]), refused, now)
         case "handover":
             server = InstanceId(trace_input["server"])
-            return tenure.on_handover(core, server, trace_input["epoch"], trace_input["busy"], now)
+            return ownership_transfer.on_handover(
+                core, server, trace_input["epoch"], trace_input["busy"], now
+            )
     _apply_observation(core, now, trace_input)
     return []
 
@@ -128,7 +130,9 @@
         case "silent":
             decisions.on_silence(core, InstanceId(trace_input["server"]), now)
         case "latency":
-            core.learnt.on_latency(InstanceId(trace_input["server"]), trace_input["latency_s"], now)
+            core.interference_model.on_latency(
+                InstanceId(trace_input["server"]), trace_input["latency_s"], now
+            )
         case "config":
             core.policy = policy.parse(trace_input["toml"]).value_or(core.policy)
             core.config_version = ConfigVersion(trace_input["version"])
@@ -136,7 +140,7 @@
             raise ValueError(f"unknown kind of trace input: {other!r}")
 
 
-def rates_of(core: Core) -> dict[str, float]:
+def service_rates(core: Core) -> dict[str, float]:
     """Return the request rate of every service of a listed instance, by service name.
 
     A trace stores them with each tick, because the core may use any of them there.
--- a/spoolcrank/resources.py
+++ b/spoolcrank/resources.py
@@ -44,12 +44,12 @@
         )
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
 
 
 def total(amounts: Iterable[Resources]) -> Resources:
     """Return the sum of all amounts."""
-    result = NOTHING
+    result = NO_RESOURCES
     for amount in amounts:
         result = result.plus(amount)
     return result
--- a/spoolcrank/route_choice.py
+++ b/spoolcrank/route_choice.py
@@ -1,7 +1,7 @@
 """Choose the runner or the peer to which a request is sent."""
 
 from spoolcrank.policy import Policy
-from spoolcrank.route_state import INITIAL_LATENCY_S, Flight, PeerRunners, Router, Runner
+from spoolcrank.route_state import INITIAL_LATENCY_S, InFlightRequest, PeerRunners, Router, Runner
 
 _LOAD_PENALTY = 1.0
 """Cost added to a runner whose slots are all busy, as a multiple of its latency."""
@@ -29,7 +29,7 @@
     return slots
 
 
-def best_runner(router: Router, call: Flight, policy: Policy, now: float) -> Runner | None:
+def best_runner(router: Router, call: InFlightRequest, policy: Policy, now: float) -> Runner | None:
     """Return the cheapest of our own runners with a free slot, or None."""
     best: Runner | None = None
     best_cost = float("inf")
@@ -57,7 +57,9 @@
     return peer.latency_s + (_SAME_ZONE_HOP_S if peer.zone == router.zone else _CROSS_ZONE_HOP_S)
 
 
-def best_peer(router: Router, call: Flight, policy: Policy, now: float) -> PeerRunners | None:
+def best_peer(
+    router: Router, call: InFlightRequest, policy: Policy, now: float
+) -> PeerRunners | None:
     """Return the cheapest peer whose runners have a free slot, or None."""
     best: PeerRunners | None = None
     best_cost = float("inf")
--- a/spoolcrank/route_state.py
+++ b/spoolcrank/route_state.py
@@ -125,7 +125,7 @@
 
 
 @dataclass
-class Flight:
+class InFlightRequest:
     """A request that has not been answered yet.
 
     Attributes:
@@ -159,7 +159,7 @@
     runners: dict[InstanceId, Runner] = field(default_factory=dict)
     peers: dict[ServiceName, dict[InstanceId, PeerRunners]] = field(default_factory=dict)
     forwarded: dict[InstanceId, dict[int, float]] = field(default_factory=dict)
-    flights: dict[RequestId, Flight] = field(default_factory=dict)
+    in_flight: dict[RequestId, InFlightRequest] = field(default_factory=dict)
     queue: dict[ServiceName, list[RequestId]] = field(default_factory=dict)
     slot_shares: dict[ServiceName, float] = field(default_factory=dict)
     attempt_runners: dict[int, InstanceId] = field(default_factory=dict)
--- a/spoolcrank/routing.py
+++ b/spoolcrank/routing.py
@@ -15,7 +15,7 @@
     MAX_RETRY_TOKENS,
     Count,
     Deliver,
-    Flight,
+    InFlightRequest,
     PeerRunners,
     Refuse,
     Request,
@@ -51,8 +51,8 @@
 
 def submit(router: Router, req: Request, policy: Policy, now: float) -> list[RouteAction]:
     """Accept a request: run it, forward it, queue it or refuse it."""
-    call = Flight(req)
-    router.flights[req.id] = call
+    call = InFlightRequest(req)
+    router.in_flight[req.id] = call
     router.retry_tokens = min(MAX_RETRY_TOKENS, router.retry_tokens + policy.routing.retry_share)
     if req.deadline <= now:
         return _refuse(router, call, ErrorKind.DEADLINE_EXCEEDED, "arrived after its deadline", 0)
@@ -63,7 +63,9 @@
     return _enqueue(router, call, policy, now)
 
 
-def _dispatch(router: Router, call: Flight, policy: Policy, now: float) -> ToRunner | ToPeer | None:
+def _dispatch(
+    router: Router, call: InFlightRequest, policy: Policy, now: float
+) -> ToRunner | ToPeer | None:
     runner = best_runner(router, call, policy, now)
     peer = best_peer(router, call, policy, now) if call.req.origin is None else None
     if runner is not None and (peer is None or not _prefers_peer(router, runner, peer, policy)):
@@ -78,7 +80,7 @@
     return runner_cost(runner) > policy.routing.steer_ratio * peer_cost(router, peer)
 
 
-def _begin_attempt(router: Router, call: Flight, target: InstanceId, now: float) -> int:
+def _begin_attempt(router: Router, call: InFlightRequest, target: InstanceId, now: float) -> int:
     router.next_attempt += 1
     call.tries += 1
     call.sent_at = now
@@ -86,7 +88,7 @@
     return router.next_attempt
 
 
-def _send_to_runner(router: Router, call: Flight, runner: Runner, now: float) -> ToRunner:
+def _send_to_runner(router: Router, call: InFlightRequest, runner: Runner, now: float) -> ToRunner:
     runner.busy += 1
     if runner.next_probe_at:
         runner.next_probe_at = now + 1.0
@@ -95,7 +97,7 @@
     return ToRunner(call.req.id, attempt, runner.server)
 
 
-def _send_to_peer(router: Router, call: Flight, peer: InstanceId, now: float) -> ToPeer:
+def _send_to_peer(router: Router, call: InFlightRequest, peer: InstanceId, now: float) -> ToPeer:
     attempt = _begin_attempt(router, call, peer, now)
     router.forwarded.setdefault(peer, {})[attempt] = now
     return ToPeer(call.req.id, attempt, peer)
@@ -112,17 +114,19 @@
     return typical_s * (ahead + 1) / max(1.0, usable_slots(router, service))
 
 
-def _queue_rank(call: Flight) -> tuple[int, float]:
+def _queue_rank(call: InFlightRequest) -> tuple[int, float]:
     return (-call.req.urgency, call.req.deadline)
 
 
-def _enqueue(router: Router, call: Flight, policy: Policy, now: float) -> list[RouteAction]:
+def _enqueue(
+    router: Router, call: InFlightRequest, policy: Policy, now: float
+) -> list[RouteAction]:
     req = call.req
     sent_to_owner = _queue_at_owner(router, call, policy, now)
     if sent_to_owner is not None:
         return [sent_to_owner, Count("route.queued-at-owner")]
     waiting = router.queue.setdefault(req.service, [])
-    ahead = sum(1 for other in waiting if _queue_rank(router.flights[other]) <= _queue_rank(call))
+    ahead = sum(1 for other in waiting if _queue_rank(router.in_flight[other]) <= _queue_rank(call))
     wait_s = estimate_wait_s(router, req.service, ahead)
     typical_s = router.typical_latency_s.get(req.service, INITIAL_LATENCY_S)
     if now + wait_s + typical_s > req.deadline:
@@ -133,17 +137,19 @@
         return _refuse(router, call, ErrorKind.NO_RUNNER, detail, policy.routing.probe_s)
     actions: list[RouteAction] = []
     if len(waiting) >= _queue_limit(router, req.service, policy):
-        worst = max(waiting, key=lambda other: _queue_rank(router.flights[other]))
-        if _queue_rank(router.flights[worst])[0] <= _queue_rank(call)[0]:
+        worst = max(waiting, key=lambda other: _queue_rank(router.in_flight[other]))
+        if _queue_rank(router.in_flight[worst])[0] <= _queue_rank(call)[0]:
             detail = f"all slots of {req.service} are busy and the queue is full"
             return _refuse(router, call, ErrorKind.OVERLOADED, detail, wait_s)
         detail = f"removed from the full queue by a more urgent request for {req.service}"
-        actions += _refuse(router, router.flights[worst], ErrorKind.OVERLOADED, detail, wait_s)
+        actions += _refuse(router, router.in_flight[worst], ErrorKind.OVERLOADED, detail, wait_s)
     waiting.append(req.id)
     return [*actions, Count("route.queued")]
 
 
-def _queue_at_owner(router: Router, call: Flight, policy: Policy, now: float) -> ToPeer | None:
+def _queue_at_owner(
+    router: Router, call: InFlightRequest, policy: Policy, now: float
+) -> ToPeer | None:
     """Forward a request to an owner's queue if we own no runner of its service.
 
     Owners serve their own queues first, so a request queued here would get a slot only after
@@ -165,7 +171,7 @@
     return _send_to_peer(router, call, least_loaded, now)
 
 
-def _reachable(router: Router, call: Flight, policy: Policy, now: float) -> bool:
+def _reachable(router: Router, call: InFlightRequest, policy: Policy, now: float) -> bool:
     """Return whether any runner that this request may use can still free a slot.
 
     A forwarded request uses only our own runners. Once they are handed over, it must be refused
@@ -180,7 +186,7 @@
 
 
 def _refuse(
-    router: Router, call: Flight, kind: ErrorKind, detail: str, retry_after_s: float
+    router: Router, call: InFlightRequest, kind: ErrorKind, detail: str, retry_after_s: float
 ) -> list[RouteAction]:
     _discard(router, call)
     delay_s = max(_MIN_RETRY_AFTER_S, retry_after_s) if kind is ErrorKind.OVERLOADED else 0.0
@@ -188,8 +194,8 @@
     return [Refuse(call.req.id, refusal)]
 
 
-def _discard(router: Router, call: Flight) -> None:
-    router.flights.pop(call.req.id, None)
+def _discard(router: Router, call: InFlightRequest) -> None:
+    router.in_flight.pop(call.req.id, None)
     waiting = router.queue.get(call.req.service, [])
     if call.req.id in waiting:
         waiting.remove(call.req.id)
@@ -215,7 +221,7 @@
         now: the present time, in seconds of the monotonic clock.
         refusal: the peer's refusal if `result` is `Result.REFUSED`.
     """
-    call = router.flights.get(request)
+    call = router.in_flight.get(request)
     _release_slot(router, call, attempt, result, policy, now)
     actions: list[RouteAction] = []
     if call is not None and attempt in call.open_attempts:
@@ -227,7 +233,7 @@
 
 def _release_slot(
     router: Router,
-    call: Flight | None,
+    call: InFlightRequest | None,
     attempt: int,
     result: Result,
     policy: Policy,
@@ -252,7 +258,7 @@
 
 def _apply_result(
     router: Router,
-    call: Flight,
+    call: InFlightRequest,
     attempt: int,
     target: InstanceId,
     result: Result,
@@ -273,7 +279,7 @@
 
 def _retry(
     router: Router,
-    call: Flight,
+    call: InFlightRequest,
     target: InstanceId,
     result: Result,
     refusal: Refusal | None,
@@ -316,8 +322,8 @@
     actions: list[RouteAction] = []
     for waiting in router.queue.values():
         while waiting:
-            first = min(waiting, key=lambda other: _queue_rank(router.flights[other]))
-            call = router.flights[first]
+            first = min(waiting, key=lambda other: _queue_rank(router.in_flight[other]))
+            call = router.in_flight[first]
             sent = _dispatch(router, call, policy, now)
             if sent is None:
                 break
@@ -329,7 +335,7 @@
 def tick(router: Router, policy: Policy, now: float) -> list[RouteAction]:
     """Refuse requests that can no longer be answered in time, hedge slow ones, drain the queues."""
     actions: list[RouteAction] = []
-    for call in list(router.flights.values()):
+    for call in list(router.in_flight.values()):
         if now >= call.req.deadline:
             actions += _expire(router, call)
         elif not call.open_attempts:
@@ -342,7 +348,7 @@
     return actions + _drain_queues(router, policy, now)
 
 
-def _expire(router: Router, call: Flight) -> list[RouteAction]:
+def _expire(router: Router, call: InFlightRequest) -> list[RouteAction]:
     if call.open_attempts or call.maybe_ran:
         target = next(iter(call.open_attempts.values()), router.me)
         detail = f"{target} did not answer before the deadline"
@@ -350,7 +356,9 @@
     return _refuse(router, call, ErrorKind.DEADLINE_EXCEEDED, "no slot became free in time", 0)
 
 
-def _refuse_early(router: Router, call: Flight, policy: Policy, now: float) -> list[RouteAction]:
+def _refuse_early(
+    router: Router, call: InFlightRequest, policy: Policy, now: float
+) -> list[RouteAction]:
     if call.req.origin is not None and not _reachable(router, call, policy, now):
         detail = f"{router.me} owns no runner of {call.req.service} any longer"
         return _refuse(router, call, ErrorKind.NO_RUNNER, detail, 0)
@@ -361,7 +369,7 @@
     return _refuse(router, call, ErrorKind.DEADLINE_EXCEEDED, detail, typical_s)
 
 
-def _hedge(router: Router, call: Flight, policy: Policy, now: float) -> list[RouteAction]:
+def _hedge(router: Router, call: InFlightRequest, policy: Policy, now: float) -> list[RouteAction]:
     factor = policy.routing.hedge_after
     if factor <= 0 or call.hedged or not call.req.repeatable or call.req.origin:
         return []
@@ -385,7 +393,7 @@
     for known in router.peers.values():
         known.pop(peer, None)
     actions: list[RouteAction] = []
-    for request, call in list(router.flights.items()):
+    for request, call in list(router.in_flight.items()):
         for attempt in [number for number, target in call.open_attempts.items() if target == peer]:
             actions += on_result(router, request, attempt, Result.CUT, policy, now)
     return actions
--- a/spoolcrank/run_control.py
+++ b/spoolcrank/run_control.py
@@ -6,11 +6,11 @@
 when every lease that was granted to it has expired.
 """
 
-from spoolcrank.apart import reopen
+from spoolcrank.abnormal_ends import record_abnormal_end
 from spoolcrank.earlier_incarnations import lose_earlier, other_incarnation_answers, take_over_runs
+from spoolcrank.isolation import end_isolation
 from spoolcrank.job_state import TaskState
 from spoolcrank.mechanisms import Mechanism
-from spoolcrank.odd_ends import blames_runner
 from spoolcrank.orders import (
     EndedRow,
     OrderResult,
@@ -25,7 +25,7 @@
 from spoolcrank.runner_loss import clear_outlived, leases_passed, lose_runner, runner_answers
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import Run, RunStage
-from spoolcrank.scheduler import INHERITED_S, Scheduler
+from spoolcrank.scheduler import MAX_INHERITED_RUN_S, Scheduler
 from spoolcrank.workflow import FINAL, JobPhase, TaskKey
 
 MAX_START_TRIES = 2
@@ -44,7 +44,7 @@
 """Share of its target below which a tail latency ends a period over the target; an approximate
 value."""
 
-UNSEEN_OVER_S = 1.0
+ASSUMED_OVER_TARGET_S = 1.0
 """Time for which a task that a new leader finds over its target is assumed to have been over
 it, in seconds. A takeover without any fault takes about that time, and harm counts after four
 seconds."""
@@ -87,16 +87,16 @@
         other_incarnation_answers(state, runner, report.runner, poll.target, now)
         return
     was_silent = runner.silent_since
-    runner.heard(report.clock_ms, asked_at, now)
+    runner.record_answer(report.clock_ms, asked_at, now)
     if was_silent is not None:
-        state.note("runner-answers", runner=runner.id, silent_s=round(now - was_silent, 2))
+        state.log_event("runner-answers", runner=runner.id, silent_s=round(now - was_silent, 2))
     runner_answers(state, runner, now)
     state.starts.zones.record_contact(asked_at)
     if not runner.adopted:
         take_over_runs(state, runner, report, now)
     used = filler_use(runner, report, now)
     for end in report.ended:
-        _take_end(state, runner, end, now)
+        _handle_end(state, runner, end, now)
     _skip_unreadable_ends(state, runner, report)
     present = {(row.task, row.run) for row in report.running}
     for row in report.running:
@@ -112,7 +112,7 @@
     set_paces(state, runner, now)
 
 
-def _take_end(state: Scheduler, runner: RunnerState, row: EndedRow, now: float) -> None:
+def _handle_end(state: Scheduler, runner: RunnerState, row: EndedRow, now: float) -> None:
     if row.number <= runner.seen_next:
         return
     runner.seen_next = row.number
@@ -130,16 +130,16 @@
 
     A run of this leader among them is no longer listed as running, and is released for that reason.
     """
-    if report.unread:
-        state.note("rows-unreadable", runner=runner.id, rows=report.unread)
-    runner.seen_next = max(runner.seen_next, *report.unread_ends, 0)
+    if report.unreadable:
+        state.log_event("rows-unreadable", runner=runner.id, rows=report.unreadable)
+    runner.seen_next = max(runner.seen_next, *report.unreadable_ends, 0)
 
 
 def _log_unknown_end(state: Scheduler, runner: RunnerState, row: EndedRow) -> None:
     """Log an end of a run that this leader does not have, with the state of the task."""
     job = state.jobs.get(row.task.job)
     task = job.task(row.task) if job is not None and job.has(row.task) else None
-    state.note(
+    state.log_event(
         "end-not-ours",
         task=row.task,
         run=row.run,
@@ -158,12 +158,14 @@
         runner.record_success()
     elif row.how.value == "failed":
         task = _task_of(state, row.task)
-        if task is not None and not blames_runner(task, runner, run, now):
+        if task is not None and not record_abnormal_end(task, runner, run, now):
             return
         runner.abnormal_failures += 1
         if runner.abnormal_failures >= 2:
-            runner.distrust(now)
-            state.note("runner-distrusted", runner=runner.id, failures=runner.abnormal_failures)
+            runner.quarantine(now)
+            state.log_event(
+                "runner-distrusted", runner=runner.id, failures=runner.abnormal_failures
+            )
 
 
 def _task_of(state: Scheduler, key: TaskKey) -> TaskState | None:
@@ -174,30 +176,30 @@
 def _handle_running(state: Scheduler, runner: RunnerState, row: RunningRow, now: float) -> None:
     run = runner.runs.get(row.task)
     if run is None or run.number != row.run:
-        state.note("run-not-ours", task=row.task, run=row.run, runner=runner.id)
+        state.log_event("run-not-ours", task=row.task, run=row.run, runner=runner.id)
         state.orders.append(Stop(state.target(runner), row.task, row.run))
         return
-    if run.stage in (RunStage.ORDERED, RunStage.UNSURE):
+    if run.stage in (RunStage.ORDERED, RunStage.UNCONFIRMED):
         run.stage = RunStage.RUNNING
         run.since = now
-    if run.marked:
+    if run.has_crash_evidence:
         clear_outlived(state, row.task, run, now)
     if row.percent != max(0, run.percent):
-        run.moved_at = now
+        run.progress_changed_at = now
     run.percent = row.percent
     run.reported_at = now
     if run.serves:
-        run.tail_ms = row.figure
+        run.tail_ms = row.measurement
         _update_over_target(runner, run, now)
     else:
-        run.used_millicores = row.figure
+        run.used_millicores = row.measurement
     job = state.jobs.get(row.task.job)
     if job is None or not job.has(row.task):
         return
     if job.phase is JobPhase.PENDING:
         # An earlier leader started it from a preassignment and could not store that it did.
         job.begin()
-        state.unkept.change(job.id)
+        state.pending_writes.add_changed_job(job.id)
     if row.saved:
         job.task(row.task).saved = row.saved
     if job.phase in FINAL and run.stage is RunStage.RUNNING:
@@ -206,10 +208,10 @@
 
 def _update_over_target(runner: RunnerState, run: Run, now: float) -> None:
     """Update the time since which a serving task has been over its target."""
-    if run.tail_ms >= run.target_ms and run.over_since is None:
-        run.over_since = now if runner.adopted else now - UNSEEN_OVER_S
+    if run.tail_ms >= run.target_ms and run.over_target_since is None:
+        run.over_target_since = now if runner.adopted else now - ASSUMED_OVER_TARGET_S
     elif run.tail_ms < run.target_ms * CLEARLY_UNDER_TARGET_SHARE:
-        run.over_since = None
+        run.over_target_since = None
 
 
 def _adopt(
@@ -219,9 +221,11 @@
     runner.adopted = True
     runner.earlier_grants_known = True
     runner.grant(now)
-    state.note("runner-adopted", runner=runner.id, running=len(present), bound=len(runner.runs))
+    state.log_event(
+        "runner-adopted", runner=runner.id, running=len(present), bound=len(runner.runs)
+    )
     for key, run in list(runner.runs.items()):
-        inherited = run.stage in (RunStage.UNSURE, RunStage.STOPPING)
+        inherited = run.stage in (RunStage.UNCONFIRMED, RunStage.STOPPING)
         if inherited and (key, run.number) not in present:
             state.release(key, runner, "never started there", now)
 
@@ -249,8 +253,8 @@
     task = _task_of(state, key)
     if task is not None:
         task.refused_by = runner.id
-        if blames_runner(task, runner, run, now):
-            runner.distrust(now)
+        if record_abnormal_end(task, runner, run, now):
+            runner.quarantine(now)
     state.release(key, runner, "not listed any more", now)
 
 
@@ -264,8 +268,10 @@
         lose_runner(state, runner, "another incarnation answers", now)
         return
     if runner.silent_since is None:
-        state.note("runner-silent", runner=runner.id, result=result.value, runs=len(runner.runs))
-    runner.missed(now)
+        state.log_event(
+            "runner-silent", runner=runner.id, result=result.value, runs=len(runner.runs)
+        )
+    runner.record_no_answer(now)
 
 
 # Time
@@ -278,13 +284,13 @@
     evacuation of leaving runners.
     """
     for runner in list(state.runners.values()):
-        runner.drop_promises(now)
-        reopen(state, runner, now)
+        runner.drop_expired_reservations(now)
+        end_isolation(state, runner, now)
         if runner.silent_since is not None or not runner.adopted:
             _check_leases(state, runner, now)
         for key, run in list(runner.runs.items()):
             _tick_run(state, runner, key, run, now)
-        if runner.leaves(now) and runner.adopted:
+        if runner.is_leaving(now) and runner.adopted:
             _evacuate(state, runner, now)
 
 
@@ -296,12 +302,12 @@
     for key, run in list(runner.runs.items()):
         resumes = run.checkpoints and run.percent < NEARLY_DONE_PERCENT
         if run.stage is RunStage.RUNNING and (run.lasting or resumes):
-            state.note("evacuated", task=key, run=run.number, runner=runner.id)
+            state.log_event("evacuated", task=key, run=run.number, runner=runner.id)
             state.stop_run(key, runner.id, now)
 
 
 def _check_leases(state: Scheduler, runner: RunnerState, now: float) -> None:
-    inherited_leases_passed = now - state.predecessor_wrote_at > INHERITED_S
+    inherited_leases_passed = now - state.predecessor_wrote_at > MAX_INHERITED_RUN_S
     never_reached = not runner.adopted and inherited_leases_passed
     if not never_reached and not runner.surely_ended(now):
         return
@@ -312,7 +318,7 @@
 def _tick_run(state: Scheduler, runner: RunnerState, key: TaskKey, run: Run, now: float) -> None:
     if run.in_flight or not runner.adopted:
         return
-    if run.stage is RunStage.UNSURE and now - run.since >= ORDER_RETRY_INTERVAL_S:
+    if run.stage is RunStage.UNCONFIRMED and now - run.since >= ORDER_RETRY_INTERVAL_S:
         if run.tries < MAX_START_TRIES and key.job in state.jobs:
             state.order_start(key, runner, run, now)
         else:
@@ -341,9 +347,11 @@
     else:
         hung_after_s = max(MIN_COUNTED_HUNG_S, expected_s * COUNTED_HUNG_FACTOR)
     # Only the time that reports cover shows a lack of progress.
-    if run.reported_at - max(run.moved_at, run.since) >= hung_after_s:
-        state.note("task-hangs", task=key, run=run.number, runner=runner.id, percent=run.percent)
-        if blames_runner(job.task(key), runner, run, now):
-            runner.distrust(now)
+    if run.reported_at - max(run.progress_changed_at, run.since) >= hung_after_s:
+        state.log_event(
+            "task-hangs", task=key, run=run.number, runner=runner.id, percent=run.percent
+        )
+        if record_abnormal_end(job.task(key), runner, run, now):
+            runner.quarantine(now)
         job.task(key).refused_by = runner.id
         state.stop_run(key, runner.id, now)
--- a/spoolcrank/run_ends.py
+++ b/spoolcrank/run_ends.py
@@ -29,7 +29,7 @@
     task = job.task(key)
     if task.phase is not Phase.BOUND or task.run != run.number:
         return
-    state.note(
+    state.log_event(
         "run-ended",
         task=key,
         run=run.number,
@@ -39,7 +39,7 @@
     )
     task.saved = saved or task.saved
     step = job.rounds[key.round].steps[key.step]
-    state.unkept.change(job.id)
+    state.pending_writes.add_changed_job(job.id)
     if how is EndKind.DONE and not step.spec.lasting:
         _record_step_time(state, job, step, run, now)
         _finish_task(state, job, key, step, task, now)
@@ -48,7 +48,7 @@
         task.refused_by = runner.id
         if step.spec.lasting:
             task.not_before = max(task.not_before, now + LASTING_RETRY_DELAY_S)
-    state.wait_again(job, key, task)
+    state.requeue_task(job, key, task)
     if how is EndKind.FAILED and not step.spec.lasting:
         _count_failure(state, job, step.accountable(key.number), now)
 
@@ -65,25 +65,25 @@
     if row.how is EndKind.DONE:
         _log_late_end(state, runner, row, task)
         _cancel_newer_runs(state, key, step, now)
-        state.unkept.change(job.id)
+        state.pending_writes.add_changed_job(job.id)
         _finish_task(state, job, key, step, task, now)
         return True
-    if task.unheard != row.run:
+    if task.abandoned_run != row.run:
         return False
     _log_late_end(state, runner, row, task)
-    task.unheard = 0
+    task.abandoned_run = 0
     if task.phase is Phase.WAITING and row.saved:
         task.saved = row.saved
-        state.unkept.change(job.id)
+        state.pending_writes.add_changed_job(job.id)
     if row.how is EndKind.FAILED:
         task.refused_by = runner.id
-        state.unkept.change(job.id)
+        state.pending_writes.add_changed_job(job.id)
         _count_failure(state, job, step.accountable(key.number), now)
     return True
 
 
 def _log_late_end(state: Scheduler, runner: RunnerState, row: EndedRow, task: TaskState) -> None:
-    state.note(
+    state.log_event(
         "late-end",
         task=row.task,
         run=row.run,
@@ -114,7 +114,7 @@
 def _count_failure(state: Scheduler, job: JobState, accountable: TaskState, now: float) -> None:
     accountable.failures += 1
     if accountable.failures >= state.max_attempts(job):
-        state.give_up(job, now)
+        state.fail_job(job, now)
 
 
 def _finish_task(
--- a/spoolcrank/runner_answers.py
+++ b/spoolcrank/runner_answers.py
@@ -1,6 +1,6 @@
 """Classify the result of a request that was sent to a runner or to a peer."""
 
-from spoolcrank._http import Failed, HttpResult
+from spoolcrank._http import CallFailure, HttpResult
 from spoolcrank.errors import ANSWERS, ErrorKind, Outcome
 from spoolcrank.ids import RequestId
 from spoolcrank.route_state import Result
@@ -11,16 +11,16 @@
     return request.partition("/")[0]
 
 
-def judge(request: RequestId, result: HttpResult) -> Result:
+def classify_result(request: RequestId, result: HttpResult) -> Result:
     """Return the result of a request from a runner's answer, or from the failure of the call."""
     match result.failed:
-        case Failed.NOT_SENT:
+        case CallFailure.NOT_SENT:
             return Result.NOT_SENT
-        case Failed.CUT:
+        case CallFailure.CUT:
             return Result.CUT
-        case Failed.TIMED_OUT:
+        case CallFailure.TIMED_OUT:
             return Result.SILENT
-        case Failed.GARBLED:
+        case CallFailure.GARBLED:
             return Result.FOREIGN
         case None:
             pass
@@ -30,7 +30,7 @@
     return Result.SERVICE_ERROR if result.status >= 500 else Result.ANSWERED
 
 
-def result_of(kind: ErrorKind) -> Result:
+def result_of_error(kind: ErrorKind) -> Result:
     """Return the result of a forwarded request that a peer refused with an error."""
     outcome = ANSWERS[kind].outcome
     if outcome is Outcome.NOT_RUN:
--- a/spoolcrank/runner_directory.py
+++ b/spoolcrank/runner_directory.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from spoolcrank.decoding import Unreadable
 from spoolcrank.keyed_log import KeyedLog, KeyedRecord
-from spoolcrank.reading import Unreadable
 from spoolcrank.runner_ids import RunnerName
 from spoolcrank.runner_state import RunnerEntry
 from spoolcrank.workflow import RunnerId
--- a/spoolcrank/runner_ids.py
+++ b/spoolcrank/runner_ids.py
@@ -16,7 +16,7 @@
 START_MARK = "@"
 """Separator between the name and the time of the start; no name may contain it."""
 
-FENCES_A_TERM = 1024
+FENCES_PER_TERM = 1024
 """Number of fences that a leader has for each name: one for each incarnation that it registers
 in its term. An incarnation that has seen its own fence ignores orders that were meant for an
 earlier one, however late they arrive."""
@@ -63,12 +63,12 @@
     def __init__(self) -> None:
         self._ranks: dict[RunnerName, dict[RunnerId, int]] = {}
 
-    def meet(self, runner: RunnerId) -> int:
+    def register(self, runner: RunnerId) -> int:
         """Register an incarnation and return its rank, above all earlier ones of its name."""
         ranks = self._ranks.setdefault(name_of(runner), {})
         if ranks and next(reversed(ranks)) == runner:
             return ranks[runner]
-        rank = min(self.newest(runner) + 1, FENCES_A_TERM - 1) if ranks else 0
+        rank = min(self.newest(runner) + 1, FENCES_PER_TERM - 1) if ranks else 0
         ranks.pop(runner, None)
         ranks[runner] = rank
         if len(ranks) > MAX_INCARNATIONS_PER_NAME:
--- a/spoolcrank/runner_listing.py
+++ b/spoolcrank/runner_listing.py
@@ -75,15 +75,15 @@
 def _list_runner(state: Scheduler, entry: RunnerEntry, now: float) -> None:
     runner = state.runners.get(entry.id)
     if runner is None:
-        state.meet(entry, now)
-        state.note("runner-listed", runner=entry.id, leaving=entry.leaving)
+        state.register(entry, now)
+        state.log_event("runner-listed", runner=entry.id, leaving=entry.leaving)
         return
     if not _belongs_to(entry, runner):
         return
     if runner.entry.leaving != entry.leaving:
-        state.note("runner-leaving", runner=entry.id, leaving=entry.leaving)
+        state.log_event("runner-leaving", runner=entry.id, leaving=entry.leaving)
     runner.entry = entry
-    runner.emptied = entry.availability_zone in state.emptied
+    runner.evacuated = entry.availability_zone in state.evacuated
     runner.listed = True
     runner.entry_removed_at = None
     runner.leaving_from = None
@@ -102,7 +102,7 @@
         if runner.adopted and runner.silent_since is None and not restarted:
             runner.entry_removed_at = now
         runner.leaving_from = max(now, (now if overwritten else store_back_at) + RELIST_S)
-        state.note(
+        state.log_event(
             "runner-unlisted",
             runner=runner.id,
             runs=len(runner.runs),
--- a/spoolcrank/runner_loss.py
+++ b/spoolcrank/runner_loss.py
@@ -11,23 +11,23 @@
 import msgspec
 
 from spoolcrank.common_cause import failure_of, find_cause
-from spoolcrank.crash_record import (
+from spoolcrank.crash_history import (
     Crash,
-    Fall,
+    RunnerFailure,
+    causes_crashes,
     clears_after_s,
-    is_guilty,
-    own_marks,
-    starts_apart,
-    with_mark,
+    independent_crashes,
+    needs_isolation,
+    with_evidence,
 )
 from spoolcrank.job_state import JobState, TaskState
 from spoolcrank.runner_ids import name_of
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import Run
 from spoolcrank.scheduler import Scheduler
-from spoolcrank.workflow import FINAL, CrashMark, Phase, RunnerId, StepKey, TaskKey
+from spoolcrank.workflow import FINAL, CrashEvidence, Phase, RunnerId, StepKey, TaskKey
 
-SETTLED_S = 1.0
+MIN_AGE_GAP_S = 1.0
 """Minimum time, in seconds, by which a run must be older than another one to be ruled out as the
 cause of a crash that follows the start of the other one."""
 
@@ -45,7 +45,7 @@
 runner for the lifetime of the run to be known; a leader that was delayed itself notices a crash
 much later."""
 
-TaskEvidence = tuple[TaskKey, CrashMark]
+TaskEvidence = tuple[TaskKey, CrashEvidence]
 
 
 def lose_runner(state: Scheduler, runner: RunnerState, why: str, now: float) -> None:
@@ -56,7 +56,9 @@
     failure = failure_of(runner, now)
     if not runner.gone:
         runner.gone = True
-        state.note("runner-gone", runner=runner.id, why=why, runs=len(runner.runs), crashed=crashed)
+        state.log_event(
+            "runner-gone", runner=runner.id, why=why, runs=len(runner.runs), crashed=crashed
+        )
     if crashed:
         task_evidence = _evidence_of_failure(state, runner, failure, now, proved=True)
     for key in list(runner.runs):
@@ -77,7 +79,7 @@
     for key, evidence in unconfirmed:
         _record_evidence(state, key, evidence, now)
     if unconfirmed:
-        state.crashes.add_unconfirmed(
+        state.crash_history.add_unconfirmed(
             runner.id, runner.entry.address, (key for key, _ in unconfirmed)
         )
 
@@ -88,14 +90,14 @@
     A runner replaces another one if it has the address of the other one, or is a later incarnation
     of the same runner.
     """
-    if not state.crashes.unconfirmed:
+    if not state.crash_history.unconfirmed:
         return
-    if runner.id in state.crashes.unconfirmed:
+    if runner.id in state.crash_history.unconfirmed:
         _clear_unconfirmed(state, runner.id)
     address, name = runner.entry.address, name_of(runner.id)
     replaced = [
         missing
-        for missing, crash in state.crashes.unconfirmed.items()
+        for missing, crash in state.crash_history.unconfirmed.items()
         if crash.address == address or name_of(missing) == name
     ]
     for other in replaced:
@@ -104,7 +106,7 @@
 
 def confirm_crash(state: Scheduler, runner: RunnerId, now: float) -> None:
     """Count an unconfirmed crash as proved, now that its incarnation is known to be over."""
-    crash = state.crashes.unconfirmed.pop(runner, None)
+    crash = state.crash_history.unconfirmed.pop(runner, None)
     if crash is None:
         return
     for key in crash.tasks:
@@ -114,77 +116,79 @@
                 _record_evidence(state, key, _as_proved(evidence), now)
 
 
-def _as_proved(evidence: CrashMark) -> CrashMark:
+def _as_proved(evidence: CrashEvidence) -> CrashEvidence:
     return msgspec.structs.replace(evidence, proved=True)
 
 
 def _clear_unconfirmed(state: Scheduler, runner: RunnerId) -> None:
-    crash = state.crashes.unconfirmed.pop(runner)
+    crash = state.crash_history.unconfirmed.pop(runner)
     for key in crash.tasks:
         task = _accountable(state, key)
         if task is not None:
             task.crashes = tuple(entry for entry in task.crashes if entry.runner != runner)
-            state.unkept.change(key.job)
+            state.pending_writes.add_changed_job(key.job)
 
 
 def clear_outlived(state: Scheduler, key: TaskKey, run: Run, now: float) -> None:
     """Clear a task whose run has lived well past the age at which runners crashed under it."""
     task = _accountable(state, key)
     if task is None or not task.crashes:
-        run.suspect = run.marked = False
+        run.suspect = run.has_crash_evidence = False
         return
     lived_s = 0.0 if run.ordered_at is None else now - run.ordered_at
     if lived_s < clears_after_s(task.crashes):
         return
-    state.note("suspect-cleared", task=key, run=run.number, crashes=len(task.crashes))
+    state.log_event("suspect-cleared", task=key, run=run.number, crashes=len(task.crashes))
     task.crashes = ()
-    run.suspect = run.marked = False
-    state.unkept.change(key.job)
+    run.suspect = run.has_crash_evidence = False
+    state.pending_writes.add_changed_job(key.job)
     runner = state.runners.get(task.runner)
-    if runner is not None and runner.apart_for == key:
-        runner.apart_for = None
+    if runner is not None and runner.isolated_for == key:
+        runner.isolated_for = None
 
 
 # Crash evidence
 
 
 def _evidence_of_failure(
-    state: Scheduler, runner: RunnerState, failure: Fall, now: float, proved: bool
+    state: Scheduler, runner: RunnerState, failure: RunnerFailure, now: float, proved: bool
 ) -> list[TaskEvidence]:
     """Record a failure and return the crash evidence per task.
 
     Evidence of a failure with a common cause is marked as shared, so that it counts little.
     """
-    state.crashes.record_failure(failure, now)
+    state.crash_history.record_failure(failure, now)
     result = find_cause(state, failure, now)
     entries = _crash_evidence(state, runner, now, proved)
     if result is None:
-        state.crashes.add_crash(Crash(now, runner.id, frozenset(key for key, _ in entries)))
+        state.crash_history.add_crash(Crash(now, runner.id, frozenset(key for key, _ in entries)))
         return entries
     cause, failures = result
-    state.note("crashed-together", runner=runner.id, runners=len(failures), suspect=cause.suspect)
+    state.log_event(
+        "crashed-together", runner=runner.id, runners=len(failures), suspect=cause.suspect
+    )
     for other in failures:
         _share_evidence(state, other.runner, cause.suspect)
     return [
-        (key, evidence if key.of_step == cause.suspect else _as_shared(evidence))
+        (key, evidence if key.step_key == cause.suspect else _as_shared(evidence))
         for key, evidence in entries
     ]
 
 
 def _share_evidence(state: Scheduler, runner: RunnerId, suspect: StepKey | None) -> None:
     """Mark the evidence of a crash as shared, once a common cause with others is known."""
-    for key in state.crashes.remove(runner):
+    for key in state.crash_history.remove(runner):
         task = _accountable(state, key)
-        if task is not None and key.of_step != suspect:
+        if task is not None and key.step_key != suspect:
             entries = task.crashes
             task.crashes = tuple(
                 _as_shared(evidence) if evidence.runner == runner else evidence
                 for evidence in entries
             )
-            state.unkept.change(key.job)
+            state.pending_writes.add_changed_job(key.job)
 
 
-def _as_shared(evidence: CrashMark) -> CrashMark:
+def _as_shared(evidence: CrashEvidence) -> CrashEvidence:
     return msgspec.structs.replace(evidence, shared=True)
 
 
@@ -214,7 +218,7 @@
         for key, run in runner.runs.items()
         if run.ordered_at is not None
     }
-    evidence: dict[TaskKey, CrashMark] = {}
+    evidence: dict[TaskKey, CrashEvidence] = {}
     for key, age_s in ages.items():
         job = state.jobs.get(key.job)
         if job is None or not job.has(key) or job.phase in FINAL:
@@ -233,25 +237,25 @@
     age_s: float,
     ages: dict[TaskKey, float],
     proved: bool,
-) -> CrashMark:
+) -> CrashEvidence:
     run = runner.runs[key]
     alone = all(
-        other_age_s >= age_s + SETTLED_S and not runner.runs[other].suspect
+        other_age_s >= age_s + MIN_AGE_GAP_S and not runner.runs[other].suspect
         for other, other_age_s in ages.items()
         if _accountable_key(state, key) != _accountable_key(state, other)
     )
     seen_s = max(0.0, run.reported_at - (run.ordered_at or 0.0))
-    begun = run.moved_at > 0.0 or run.reported_at > 0.0
+    begun = run.progress_changed_at > 0.0 or run.reported_at > 0.0
     known = begun and not run.inherited and age_s - seen_s <= MAX_UNREPORTED_S
     lived_ms = max(1, round(age_s * 1000.0)) if known else 0
     if run.inherited:
         # A task in isolation had not been cleared yet.
         task = _accountable(state, key)
-        alone = alone and task is not None and starts_apart(task.crashes)
+        alone = alone and task is not None and needs_isolation(task.crashes)
     elif not begun:
         # The runner may have been down before the start was sent.
         alone = False
-    return CrashMark(runner.id, runner.entry.address, lived_ms, alone, proved)
+    return CrashEvidence(runner.id, runner.entry.address, lived_ms, alone, proved)
 
 
 def _accountable_key(state: Scheduler, key: TaskKey) -> TaskKey:
@@ -269,7 +273,7 @@
     return job.accountable(key) if job is not None and job.has(key) else None
 
 
-def _record_evidence(state: Scheduler, key: TaskKey, evidence: CrashMark, now: float) -> None:
+def _record_evidence(state: Scheduler, key: TaskKey, evidence: CrashEvidence, now: float) -> None:
     """Record crash evidence, delay the next start, and give up a crash-causing task.
 
     The evidence is stored before the next start can be sent.
@@ -277,14 +281,14 @@
     job, task = state.jobs.get(key.job), _accountable(state, key)
     if job is None or task is None or job.phase in FINAL or task.phase is Phase.DONE:
         return
-    task.crashes = with_mark(task.crashes, evidence)
-    crashes = len(own_marks(task.crashes))
+    task.crashes = with_evidence(task.crashes, evidence)
+    crashes = len(independent_crashes(task.crashes))
     if not evidence.shared:
         task.not_before = max(
             task.not_before, now + RESTART_DELAYS_S[min(crashes, len(RESTART_DELAYS_S)) - 1]
         )
-    state.unkept.change(key.job)
-    state.note(
+    state.pending_writes.add_changed_job(key.job)
+    state.log_event(
         "crash-counted",
         task=key,
         run=task.run,
@@ -297,7 +301,7 @@
     )
     _flag_present_run(state, key, task)
     runners = sum(1 for other in state.runners.values() if other.listed)
-    if is_guilty(task.crashes, state.crashes.crashes_per_runner_s(key, runners, now)):
+    if causes_crashes(task.crashes, state.crash_history.crashes_per_runner_s(key, runners, now)):
         _give_up(state, job, key, task.crashes, now)
 
 
@@ -306,19 +310,19 @@
     runner = state.runners.get(task.runner)
     run = runner.runs.get(key) if runner is not None else None
     if run is not None:
-        run.marked = True
-        run.suspect = bool(own_marks(task.crashes))
+        run.has_crash_evidence = True
+        run.suspect = bool(independent_crashes(task.crashes))
 
 
 def _give_up(
-    state: Scheduler, job: JobState, key: TaskKey, entries: Iterable[CrashMark], now: float
+    state: Scheduler, job: JobState, key: TaskKey, entries: Iterable[CrashEvidence], now: float
 ) -> None:
-    state.note(
+    state.log_event(
         "task-given-up",
         task=key,
         why="runners crash soon after it starts",
         runners=[evidence.runner for evidence in entries],
         lived_ms=[evidence.lived_ms for evidence in entries],
     )
-    state.crashes.forget_task(key)
-    state.give_up(job, now)
+    state.crash_history.forget_task(key)
+    state.fail_job(job, now)
--- a/spoolcrank/runner_port.py
+++ b/spoolcrank/runner_port.py
@@ -6,7 +6,7 @@
 from spoolcrank.orders import Answered, OrderResult, Pace, Poll, Report, Start, Stop
 
 
-class Polled(NamedTuple):
+class PollResult(NamedTuple):
     """Result of a poll; it has a report only if the result is DONE."""
 
     result: OrderResult
@@ -25,5 +25,5 @@
     def pace(self, order: Pace, done: Callable[[Answered], None]) -> None:
         """Set the speed of a run."""
 
-    def poll(self, order: Poll, done: Callable[[Polled], None]) -> None:
+    def poll(self, order: Poll, done: Callable[[PollResult], None]) -> None:
         """Ask a runner for its running and ended runs."""
--- a/spoolcrank/runner_state.py
+++ b/spoolcrank/runner_state.py
@@ -22,19 +22,19 @@
 """Fraction by which a runner's clock may run slower than the leader's; specified by the
 platform."""
 
-FRESH_S = 2.5
+MAX_ANSWER_AGE_S = 2.5
 """Age of the last answer, in seconds, above which a runner gets no new work: two polls and a
 pause."""
 
-DISTRUST_S = 4.0
+QUARANTINE_S = 4.0
 """Time for which a runner gets no new work after abnormal failures, in seconds. It doubles with
 each quarantine, up to MAX_QUARANTINE_S."""
 
-SERVING_USE = 0.5
+SERVING_USE_SHARE = 0.5
 """Share of its declared processors that a serving task is assumed to use. The site files state
 a load of 0.48 that fluctuates. When serving tasks need more than this, the fillers yield."""
 
-UNKNOWN_PACE = 50
+ASSUMED_PACE_PERCENT = 50
 """Pace, in percent, that is assumed for a filler whose pace may or may not have been set: after
 an order without an answer, and after a takeover. The pace is set again as soon as the tail
 latencies allow it."""
@@ -43,7 +43,7 @@
 """Maximum delay between a change of use and a report that shows it, in seconds. A report covers
 the last half second and arrives up to that much later."""
 
-MAX_DISTRUST_S = 16.0
+MAX_QUARANTINE_S = 16.0
 """Maximum quarantine, in seconds; a runner that has recovered is tried again within this time."""
 
 
@@ -72,7 +72,7 @@
 NO_RUNNERS: frozenset[RunnerId] = frozenset()
 
 
-def unlisted(runner: RunnerId, service: ServiceName) -> RunnerEntry:
+def unlisted_entry(runner: RunnerId, service: ServiceName) -> RunnerEntry:
     """Return an entry for a runner that only the records of a job still name."""
     no_address = Address("")
     return RunnerEntry(
@@ -80,14 +80,14 @@
     )
 
 
-class Promise(NamedTuple):
+class Reservation(NamedTuple):
     """Capacity reserved, until a monotonic time, for a task that is moving from another runner."""
 
     demand: Demand
     until: float
 
 
-class FillerRoom(NamedTuple):
+class FillerHeadroom(NamedTuple):
     """Headroom that the serving tasks of one runner leave for one more filler.
 
     Attributes:
@@ -136,7 +136,7 @@
 
     entry: RunnerEntry
     rank: int = 0
-    met_at: float = 0.0
+    first_seen_at: float = 0.0
     adopted: bool = False
     gone: bool = False
     listed: bool = True
@@ -151,19 +151,19 @@
     seen_next: int = 0
     silent_since: float | None = None
     ids_at_address: frozenset[RunnerId] = NO_RUNNERS
-    emptied: bool = False
-    apart_for: TaskKey | None = None
-    apart_since: float = 0.0
+    evacuated: bool = False
+    isolated_for: TaskKey | None = None
+    isolated_since: float = 0.0
     entry_removed_at: float | None = None
     polling: bool = False
     polled_at: float = -1.0
-    learnt_at: float = -1.0
-    filler_room: FillerRoom | None = None
-    distrusted_until: float = -1.0
-    distrust_s: float = 0.0
+    learned_at: float = -1.0
+    filler_headroom: FillerHeadroom | None = None
+    quarantined_until: float = -1.0
+    quarantine_s: float = 0.0
     abnormal_failures: int = 0
     runs: dict[TaskKey, Run] = field(default_factory=dict)
-    promised: dict[TaskKey, Promise] = field(default_factory=dict)
+    reservations: dict[TaskKey, Reservation] = field(default_factory=dict)
     used_millicores: int = 0
     used_memory_mb: int = 0
     used_accelerators: int = 0
@@ -177,7 +177,7 @@
         """Return the id of this incarnation."""
         return self.entry.id
 
-    def heard(self, clock_ms: float, asked_at: float, now: float) -> None:
+    def record_answer(self, clock_ms: float, asked_at: float, now: float) -> None:
         """Record an answer, with the runner's clock, to a call sent at `asked_at`."""
         if self.clock_at < 0 or clock_ms >= self.clock_lower(now):
             self.clock_ms = clock_ms
@@ -185,7 +185,7 @@
         self.answered_at = max(self.answered_at, asked_at)
         self.silent_since = None
 
-    def missed(self, now: float) -> None:
+    def record_no_answer(self, now: float) -> None:
         """Record that a call got no answer."""
         if self.silent_since is None:
             self.silent_since = now
@@ -219,7 +219,7 @@
             return False
         return self.clock_lower(now) > self.granted_ms
 
-    def leaves(self, now: float) -> bool:
+    def is_leaving(self, now: float) -> bool:
         """Return whether the runner is about to end.
 
         It is if its entry says so, or if its entry disappeared and did not return in time.
@@ -228,11 +228,11 @@
 
     def usable(self, now: float) -> bool:
         """Return whether new work should go there: it is reachable and not quarantined."""
-        return now >= self.distrusted_until and self.reachable(now)
+        return now >= self.quarantined_until and self.reachable(now)
 
     def reachable(self, now: float) -> bool:
         """Return whether new work may go there, even if it is quarantined."""
-        return self.apart_for is None and not self.emptied and self.answers(now)
+        return self.isolated_for is None and not self.evacuated and self.answers(now)
 
     def answers(self, now: float) -> bool:
         """Return whether it answered this leader recently and is not about to end."""
@@ -243,24 +243,24 @@
             and not self.entry.leaving
             and (self.leaving_from is None or now < self.leaving_from)
             and self.silent_since is None
-            and now - self.answered_at <= FRESH_S
+            and now - self.answered_at <= MAX_ANSWER_AGE_S
         )
 
-    def distrust(self, now: float) -> None:
+    def quarantine(self, now: float) -> None:
         """Quarantine the runner, for a longer time at each call; no effect during a quarantine."""
-        if now < self.distrusted_until:
+        if now < self.quarantined_until:
             return
-        self.distrust_s = min(MAX_DISTRUST_S, max(DISTRUST_S, self.distrust_s * 2))
-        self.distrusted_until = now + self.distrust_s
+        self.quarantine_s = min(MAX_QUARANTINE_S, max(QUARANTINE_S, self.quarantine_s * 2))
+        self.quarantined_until = now + self.quarantine_s
 
     def record_success(self) -> None:
         """Record a run that succeeded, which resets the quarantine time and the failure count."""
-        self.distrust_s = 0.0
+        self.quarantine_s = 0.0
         self.abnormal_failures = 0
 
     def set_pace(self, run: Run, pace: int, now: float) -> None:
         """Set the pace of a filler, and update its work done and the use of all fillers."""
-        self.filler_room = None
+        self.filler_headroom = None
         run.worked_before_s = run.worked_s(now)
         run.paced_at = now
         self.filled_millicores -= run.paced_millicores
@@ -274,15 +274,15 @@
 
     def remove(self, key: TaskKey) -> Run | None:
         """Remove a run, free its capacity and return it; None if there is no such run."""
-        if self.apart_for == key:
-            self.apart_for = None
+        if self.isolated_for == key:
+            self.isolated_for = None
         run = self.runs.pop(key, None)
         if run is not None:
             self._count(run, -1)
         return run
 
     def _count(self, run: Run, sign: int) -> None:
-        self.filler_room = None
+        self.filler_headroom = None
         self.used_millicores += sign * run.demand.millicores
         self.used_memory_mb += sign * run.demand.memory_mb
         self.used_accelerators += sign * run.demand.accelerators
@@ -300,13 +300,13 @@
     def fits(self, demand: Demand, task: TaskKey | None = None) -> bool:
         """Return whether a demand fits into the free capacity that others have not reserved."""
         room = self.entry.room
-        if not self.promised:
+        if not self.reservations:
             return (
                 self.used_millicores + demand.millicores <= room.millicores
                 and self.used_memory_mb + demand.memory_mb <= room.memory_mb
                 and self.used_accelerators + demand.accelerators <= room.accelerators
             )
-        reserved = [other.demand for key, other in self.promised.items() if key != task]
+        reserved = [other.demand for key, other in self.reservations.items() if key != task]
         demands = [demand, *reserved]
         return (
             self.used_millicores + sum(each.millicores for each in demands) <= room.millicores
@@ -315,11 +315,11 @@
             <= room.accelerators
         )
 
-    def drop_promises(self, now: float) -> None:
+    def drop_expired_reservations(self, now: float) -> None:
         """Drop the reservations that have expired."""
-        if self.promised:
-            self.promised = {
-                key: entry for key, entry in self.promised.items() if entry.until > now
+        if self.reservations:
+            self.reservations = {
+                key: entry for key, entry in self.reservations.items() if entry.until > now
             }
 
     @property
@@ -328,7 +328,7 @@
 
         The result is negative when fillers share processors.
         """
-        unused = int(self.serving_millicores * (1.0 - SERVING_USE))
+        unused = int(self.serving_millicores * (1.0 - SERVING_USE_SHARE))
         counted = self.used_millicores - unused
         return self.entry.room.millicores - counted - self.filled_millicores
 
--- a/spoolcrank/runs.py
+++ b/spoolcrank/runs.py
@@ -12,7 +12,7 @@
 
     RECORDED = "recorded"
     ORDERED = "ordered"
-    UNSURE = "unsure"
+    UNCONFIRMED = "unsure"
     RUNNING = "running"
     STOPPING = "stopping"
 
@@ -62,11 +62,11 @@
     lasting: bool = False
     checkpoints: bool = False
     percent: int = -1
-    moved_at: float = 0.0
+    progress_changed_at: float = 0.0
     reported_at: float = 0.0
     tries: int = 0
     tail_ms: float = 0.0
-    over_since: float | None = None
+    over_target_since: float | None = None
     load: StepLoad = field(default_factory=StepLoad)
     used_millicores: float = 0.0
     pace: int = 100
@@ -78,7 +78,7 @@
     bound_at: float = 0.0
     ordered_at: float | None = None
     inherited: bool = False
-    marked: bool = False
+    has_crash_evidence: bool = False
     suspect: bool = False
 
     def worked_s(self, now: float) -> float:
--- a/spoolcrank/scheduler.py
+++ b/spoolcrank/scheduler.py
@@ -9,29 +9,29 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from spoolcrank.contention import Contention
-from spoolcrank.crash_record import CrashRecord, own_marks, starts_apart
+from spoolcrank.contention import ContentionModel
+from spoolcrank.crash_history import CrashHistory, independent_crashes, needs_isolation
 from spoolcrank.ids import AvailabilityZone, JobId, ServiceName
 from spoolcrank.job_state import NO_RUNNER, JobState, TaskState
 from spoolcrank.leadership import SELF_FENCE_S
+from spoolcrank.log_events import LogEvent
 from spoolcrank.mechanisms import Mechanism
-from spoolcrank.notes import Note
 from spoolcrank.objective import objective_s
 from spoolcrank.orders import Order, Start, Stop, Target
+from spoolcrank.pending_writes import PendingWrites
 from spoolcrank.placing_pass import FillerRefusal, PlacingPass
-from spoolcrank.runner_ids import FENCES_A_TERM, FenceRanks
+from spoolcrank.runner_ids import FENCES_PER_TERM, FenceRanks
 from spoolcrank.runner_state import (
+    ASSUMED_PACE_PERCENT,
     CLOCK_DRIFT,
     LEASE_MS,
-    UNKNOWN_PACE,
     RunnerEntry,
     RunnerState,
-    unlisted,
+    unlisted_entry,
 )
 from spoolcrank.runs import Run, RunStage
-from spoolcrank.start_window import START_BYTES, StartWindow
+from spoolcrank.start_window import START_OVERHEAD_BYTES, StartWindow
 from spoolcrank.step_times import StepTimes
-from spoolcrank.unkept import Unkept
 from spoolcrank.workflow import (
     FINAL,
     JobPhase,
@@ -43,7 +43,7 @@
     TaskKey,
 )
 
-INHERITED_S = (SELF_FENCE_S + LEASE_MS / 1000.0) * (1.0 + 1.5 * CLOCK_DRIFT)
+MAX_INHERITED_RUN_S = (SELF_FENCE_S + LEASE_MS / 1000.0) * (1.0 + 1.5 * CLOCK_DRIFT)
 """Time after the last write of the previous leader at which a runner that this leader has never
 reached no longer runs anything, seconds. After that write the previous leader extends leases for
 at most SELF_FENCE_S, each by at most LEASE_MS; the factor allows for clock drift."""
@@ -72,29 +72,29 @@
         self.runners: dict[RunnerId, RunnerState] = {}
         self.ranks = FenceRanks()
         self.routes: dict[RouteName, RoutePolicy] = {}
-        self.contention = Contention()
+        self.contention = ContentionModel()
         self.times = StepTimes()
         self.extends_until = math.inf
         self.reserve = 0
         self.short_demand = 0.0
         self.forecast_at = now
-        self.emptied: frozenset[AvailabilityZone] = frozenset()
+        self.evacuated: frozenset[AvailabilityZone] = frozenset()
         self.orders: list[Order] = []
-        self.notes: list[Note] = []
+        self.log_events: list[LogEvent] = []
         self.ready: dict[JobId, None] = {}
         self.placing = PlacingPass()
         self.filler_refusals: dict[tuple[ServiceName, str], FillerRefusal] = {}
-        self.unkept = Unkept()
-        self.crashes = CrashRecord(now)
+        self.pending_writes = PendingWrites()
+        self.crash_history = CrashHistory(now)
         self.starts = StartWindow()
         self.ended: list[tuple[float, JobId]] = []
         self.recurring_jobs: dict[JobId, None] = {}
-        self.learnt_at = now
+        self.learned_state_stored_at = now
         self.backlog_logged_at = -math.inf
 
-    def note(self, name: str, **fields: Any) -> None:
+    def log_event(self, name: str, **fields: Any) -> None:
         """Append a log event for one decision."""
-        self.notes.append(Note(name, fields))
+        self.log_events.append(LogEvent(name, fields))
 
     def uses(self, mechanism: Mechanism) -> bool:
         """Return whether a mechanism is enabled."""
@@ -120,7 +120,7 @@
         job.accepted_at = job.started_at = now
         if progress is not None:
             job.restore(progress)
-            self.crashes.restore(job)
+            self.crash_history.restore(job)
             job.accepted_at = now - max(0.0, time_of_day_ms - record.accepted_ms) / 1000.0
         self.jobs[job_id] = job
         for key, task in job.bound():
@@ -138,16 +138,16 @@
     def _inherit(self, key: TaskKey, task: TaskState, job: JobState) -> None:
         runner = self.runners.get(task.runner)
         if runner is None:
-            entry = unlisted(task.runner, job.record.service)
-            runner = self.meet(entry, self.began_at, listed=False)
-        run = self.new_run(job, key, task.run, RunStage.UNSURE, self.began_at)
+            entry = unlisted_entry(task.runner, job.record.service)
+            runner = self.register(entry, self.began_at, listed=False)
+        run = self.new_run(job, key, task.run, RunStage.UNCONFIRMED, self.began_at)
         run.resumed = run.inherited = True
         run.ordered_at = self.began_at
         if run.fills:
-            run.pace = UNKNOWN_PACE
+            run.pace = ASSUMED_PACE_PERCENT
         runner.add(key, run)
-        if starts_apart(job.accountable(key).crashes):
-            runner.apart_for = key
+        if needs_isolation(job.accountable(key).crashes):
+            runner.isolated_for = key
 
     def new_run(self, job: JobState, key: TaskKey, number: int, stage: RunStage, now: float) -> Run:
         """Return a new run of a task, with the resources that it takes on a runner."""
@@ -167,8 +167,8 @@
             checkpoints=spec.checkpoints,
             load=step.load,
             bound_at=now,
-            marked=bool(evidence),
-            suspect=bool(own_marks(evidence)),
+            has_crash_evidence=bool(evidence),
+            suspect=bool(independent_crashes(evidence)),
         )
 
     def cancel(self, job_id: JobId, now: float) -> None:
@@ -178,7 +178,7 @@
             return
         self.end_job(job, JobPhase.CANCELLED, now)
 
-    def give_up(self, job: JobState, now: float) -> None:
+    def fail_job(self, job: JobState, now: float) -> None:
         """End a job as failed and stop its remaining runs."""
         if job.phase not in FINAL:
             self.end_job(job, JobPhase.FAILED, now)
@@ -186,12 +186,12 @@
     def end_job(self, job: JobState, phase: JobPhase, now: float) -> None:
         """End a job in the given phase and stop its remaining runs."""
         job.phase = phase
-        self.unkept.change(job.id)
+        self.pending_writes.add_changed_job(job.id)
         self.ready.pop(job.id, None)
         self.recurring_jobs.pop(job.id, None)
         job.drop_preassigned()
         self.ended.append((now, job.id))
-        self.note("job-ended", job=job.id, phase=phase.value)
+        self.log_event("job-ended", job=job.id, phase=phase.value)
         for key, task in list(job.bound()):
             self.stop_run(key, task.runner, now)
 
@@ -218,33 +218,33 @@
 
     # Runners
 
-    def meet(self, entry: RunnerEntry, now: float, listed: bool = True) -> RunnerState:
+    def register(self, entry: RunnerEntry, now: float, listed: bool = True) -> RunnerState:
         """Register a new incarnation of a runner and return its state."""
         runner = RunnerState(
             entry,
-            rank=self.ranks.meet(entry.id),
-            met_at=now,
+            rank=self.ranks.register(entry.id),
+            first_seen_at=now,
             listed=listed,
             lease_ms=self.lease_ms,
-            emptied=entry.availability_zone in self.emptied,
+            evacuated=entry.availability_zone in self.evacuated,
         )
         self.runners[entry.id] = runner
         return runner
 
-    def empty_zones(self, zones: frozenset[AvailabilityZone]) -> None:
+    def evacuate_zones(self, zones: frozenset[AvailabilityZone]) -> None:
         """Start nothing more in the given availability zones; tasks already there keep running."""
-        self.emptied = zones
+        self.evacuated = zones
         for runner in self.runners.values():
-            runner.emptied = runner.entry.availability_zone in zones
+            runner.evacuated = runner.entry.availability_zone in zones
 
     def target(self, runner: RunnerState) -> Target:
         """Return the address and fence for orders to a runner."""
-        fence = self.term * FENCES_A_TERM + runner.rank
+        fence = self.term * FENCES_PER_TERM + runner.rank
         return Target(runner.id, runner.entry.address, fence)
 
     def outranked_by_itself(self, target: Target) -> bool:
         """Return whether this leader gave a later incarnation of the runner a higher fence."""
-        return target.fence < self.term * FENCES_A_TERM + self.ranks.newest(target.runner)
+        return target.fence < self.term * FENCES_PER_TERM + self.ranks.newest(target.runner)
 
     # Runs
 
@@ -256,16 +256,16 @@
             return
         task = job.task(key)
         if task.phase is Phase.BOUND and task.runner == runner.id and task.run == run.number:
-            self.note("run-released", task=key, run=run.number, runner=runner.id, why=why)
-            task.unheard = run.number
-            self.wait_again(job, key, task)
+            self.log_event("run-released", task=key, run=run.number, runner=runner.id, why=why)
+            task.abandoned_run = run.number
+            self.requeue_task(job, key, task)
 
-    def wait_again(self, job: JobState, key: TaskKey, task: TaskState) -> None:
+    def requeue_task(self, job: JobState, key: TaskKey, task: TaskState) -> None:
         """Return a task to the tasks that wait for a runner."""
         task.phase = Phase.WAITING
         task.runner = NO_RUNNER
         job.rounds[key.round].steps[key.step].waiting[key.number] = None
-        self.unkept.change(job.id)
+        self.pending_writes.add_changed_job(job.id)
         if job.phase not in FINAL:
             self.ready[job.id] = None
 
@@ -310,7 +310,7 @@
         until_ms = runner.grant(now) if extends else int(runner.granted_ms)
         # A retry goes to a runner that did not answer the first attempt: it takes none of the
         # link's window, so that other runners' starts do not wait for it.
-        size = START_BYTES + len(payload) + len(task.saved) if run.tries == 1 else 0
+        size = START_OVERHEAD_BYTES + len(payload) + len(task.saved) if run.tries == 1 else 0
         self.starts.sent(key, run.number, size, now, runner.entry.availability_zone)
         to = self.target(runner)
         self.orders.append(Start(to, key, run.number, payload, task.saved, until_ms))
@@ -319,11 +319,11 @@
         """Return the approximate size of the order to start a task, bytes."""
         job = self.jobs.get(key.job)
         payload = job.record.workflow.payload if job is not None else ""
-        return START_BYTES + len(payload)
+        return START_OVERHEAD_BYTES + len(payload)
 
     def pending_start_bytes(self) -> int:
         """Return the size of the starts that are bound but not sent yet, bytes."""
-        bound = (*self.starts.waiting, *self.unkept.starts)
+        bound = (*self.starts.waiting, *self.pending_writes.starts)
         return sum(self.start_bytes(bound_run.task) for bound_run in bound)
 
     def pools(self, now: float) -> dict[ServiceName, list[RunnerState]]:
@@ -334,7 +334,7 @@
                 pools.setdefault(runner.entry.service, []).append(runner)
         return pools
 
-    def distrusted(self, service: ServiceName, now: float) -> list[RunnerState]:
+    def quarantined(self, service: ServiceName, now: float) -> list[RunnerState]:
         """Return the quarantined runners of a service that are reachable and could take work."""
         return [
             runner
--- a/spoolcrank/servers.py
+++ b/spoolcrank/servers.py
@@ -11,11 +11,11 @@
 from spoolcrank.ids import NO_EPOCH, TaskId
 from spoolcrank.jobs import JobClass, TaskState
 from spoolcrank.ledger import Ledger, Task
-from spoolcrank.lost_tasks import SETTLED_S, UNKNOWN_S, Crash
-from spoolcrank.owned_server import Action, Append, OwnedServer, Phase, Send, Situation
+from spoolcrank.lost_tasks import MIN_AGE_GAP_S, UNKNOWN_LIFETIME_S, Crash
+from spoolcrank.owned_server import Action, Append, LogStatus, OwnedServer, Phase, Send
 from spoolcrank.policy import Policy
 from spoolcrank.records import Ended, Placed
-from spoolcrank.resources import NOTHING, Resources, total
+from spoolcrank.resources import NO_RESOURCES, Resources, total
 from spoolcrank.server_commands import adopt, fence, start, stop
 from spoolcrank.worker import AttemptRef, EndedTask, Refused, Renew, Report
 
@@ -26,14 +26,14 @@
 def allocated(owned: OwnedServer, ledger: Ledger) -> Resources:
     """Return the total size of the tasks running on, bound to, or being placed on a server."""
     sizes: dict[TaskId, Resources] = {}
-    for task in ledger.placed_at(owned.server):
+    for task in ledger.tasks_on(owned.server):
         sizes[task.id] = task.size.resources
     for record in owned.placing.values():
         sizes[record.task] = record.size.resources
     if owned.report is not None:
         for running in owned.report.running:
             sizes[running.task] = running.size.resources
-    return total(sizes.values()) if sizes else NOTHING
+    return total(sizes.values()) if sizes else NO_RESOURCES
 
 
 def poll(owned: OwnedServer, ledger: Ledger, policy: Policy, now: float) -> list[Action]:
@@ -45,7 +45,7 @@
         return [adopt(owned)]
     refs = [AttemptRef(task=run.task, attempt=run.attempt) for run in owned.report.running]
     known = {ref.task for ref in refs}
-    for task in ledger.placed_at(owned.server):
+    for task in ledger.tasks_on(owned.server):
         if task.id not in known:
             refs.append(AttemptRef(task=task.id, attempt=task.attempt))
     acks = [
@@ -78,7 +78,7 @@
     report: Report,
     sent_at: float,
     ledger: Ledger,
-    situation: Situation,
+    log_status: LogStatus,
     policy: Policy,
     now: float,
 ) -> list[Action]:
@@ -92,7 +92,7 @@
     owned.report = report
     owned.report_sent_at = sent_at
     owned.contacted_at = now
-    return reconcile(owned, ledger, situation, policy, now)
+    return reconcile(owned, ledger, log_status, policy, now)
 
 
 def on_refused(owned: OwnedServer, refused: Refused) -> bool:
@@ -117,7 +117,7 @@
 
 
 def reconcile(
-    owned: OwnedServer, ledger: Ledger, situation: Situation, policy: Policy, now: float
+    owned: OwnedServer, ledger: Ledger, log_status: LogStatus, policy: Policy, now: float
 ) -> list[Action]:
     """Return the actions that resolve the differences between the last report and the log."""
     report = owned.report
@@ -127,8 +127,8 @@
     running = {run.task: run for run in report.running}
     ended = {end.task: end for end in report.ended}
     for end in report.ended:
-        actions += _record_end(owned, ledger, end, situation, policy, now)
-    log_is_newer = situation.read_at > max(owned.adopted_at, owned.report_sent_at)
+        actions += _record_end(owned, ledger, end, log_status, policy, now)
+    log_is_newer = log_status.read_at > max(owned.adopted_at, owned.report_sent_at)
     for run in report.running:
         task = ledger.tasks.get(run.task)
         if _belongs(task, owned, run.attempt):
@@ -136,9 +136,9 @@
                 actions.append(stop(owned, run.task, run.attempt, policy, now))
         elif log_is_newer:
             actions.append(stop(owned, run.task, run.attempt, policy, now))
-    for task in ledger.placed_at(owned.server):
+    for task in ledger.tasks_on(owned.server):
         if task.id not in running and not _has_ended(ended, task):
-            actions += _handle_missing(owned, ledger, task, situation, policy, now)
+            actions += _handle_missing(owned, ledger, task, log_status, policy, now)
     return actions
 
 
@@ -157,14 +157,14 @@
     owned: OwnedServer,
     ledger: Ledger,
     end: EndedTask,
-    situation: Situation,
+    log_status: LogStatus,
     policy: Policy,
     now: float,
 ) -> list[Action]:
     task = ledger.tasks.get(end.task)
     if not _belongs(task, owned, end.attempt):
         return []
-    if not situation.log_ok:
+    if not log_status.log_ok:
         return []
     return append_end(owned, end, now)
 
@@ -180,9 +180,9 @@
     never_sent = started is None and task.epoch == owned.epoch
     if never_sent or owned.server in ledger.drains:
         return append_end(owned, lost, now)
-    others = [other for other in ledger.placed_at(owned.server) if other.id != task.id]
-    alone = all(task.since - other.since >= SETTLED_S and not other.crashes for other in others)
-    lived_s = UNKNOWN_S
+    others = [other for other in ledger.tasks_on(owned.server) if other.id != task.id]
+    alone = all(task.since - other.since >= MIN_AGE_GAP_S and not other.crashes for other in others)
+    lived_s = UNKNOWN_LIFETIME_S
     if started is not None and owned.previous_contact_at is not None:
         lived_s = max(0.0, owned.previous_contact_at + policy.leases.renew_s - started)
     crash = Crash(server=owned.server, lived_s=lived_s, alone=alone)
@@ -215,21 +215,21 @@
     owned: OwnedServer,
     ledger: Ledger,
     task: Task,
-    situation: Situation,
+    log_status: LogStatus,
     policy: Policy,
     now: float,
 ) -> list[Action]:
-    if situation.read_at <= owned.adopted_at or task.epoch == NO_EPOCH:
+    if log_status.read_at <= owned.adopted_at or task.epoch == NO_EPOCH:
         return []
     if task.server_incarnation != owned.incarnation:
-        return _record_lost(owned, ledger, task, policy, now) if situation.log_ok else []
+        return _record_lost(owned, ledger, task, policy, now) if log_status.log_ok else []
     if owned.starts.get(task.id, float("-inf")) >= owned.report_sent_at:
         return []
     if ledger.jobs[task.job].cancelled_by is not None:
         unstarted = EndedTask(
             task=task.id, attempt=task.attempt, how="stopped", reason="not started"
         )
-        return append_end(owned, unstarted, now) if situation.log_ok else []
+        return append_end(owned, unstarted, now) if log_status.log_ok else []
     return [start(owned, ledger, task, policy, now)]
 
 
@@ -246,14 +246,14 @@
 
 
 def resume_here(
-    owned: OwnedServer, ledger: Ledger, situation: Situation, policy: Policy, now: float
+    owned: OwnedServer, ledger: Ledger, log_status: LogStatus, policy: Policy, now: float
 ) -> list[Action]:
     """Resume evicted tasks on the server that the log binds them to while the log is down.
 
     Only an owner with a claim on the log may do so, and only if the eviction was never sent to
     the log; otherwise that record could still release the task for another server.
     """
-    if situation.log_ok or owned.phase is not Phase.READY or owned.report is None:
+    if log_status.log_ok or owned.phase is not Phase.READY or owned.report is None:
         return []
     if claim_of(owned.epoch) != owned.epoch:
         return []
@@ -275,7 +275,7 @@
 def record_all_lost(owned: OwnedServer, ledger: Ledger, now: float) -> list[Action]:
     """Return the records that declare all tasks bound to an unreachable server lost."""
     actions: list[Action] = []
-    for task in ledger.placed_at(owned.server):
+    for task in ledger.tasks_on(owned.server):
         lost = EndedTask(task=task.id, attempt=task.attempt, how="lost", reason=_LOST_REASON)
         actions += append_end(owned, lost, now)
     return actions
--- a/spoolcrank/slot_use.py
+++ b/spoolcrank/slot_use.py
@@ -29,18 +29,18 @@
     at: float
 
 
-def all_busy(slots: int, now: float) -> SlotUse:
+def assume_all_busy(slots: int, now: float) -> SlotUse:
     """Return the use of a runner without observations, which may be full."""
     return SlotUse(float(slots), now)
 
 
-def seen(use: SlotUse, busy: int, now: float) -> SlotUse:
+def record_busy(use: SlotUse, busy: int, now: float) -> SlotUse:
     """Return the use after an observation of `busy` slots in use."""
     decayed_peak = use.peak * 0.5 ** (max(0.0, now - use.at) / HALF_LIFE_S)
     return SlotUse(max(float(busy), decayed_peak), now)
 
 
-def kept_slots(use: SlotUse, slots: int) -> int:
+def reserved_slots(use: SlotUse, slots: int) -> int:
     """Return the number of slots of a runner for which processors are reserved."""
     # Halves are rounded up, so that a peak of one slot is reserved for one half-life.
     return min(slots, math.floor(use.peak + 0.5) + SPARE_SLOTS)
--- a/spoolcrank/standin_backend.py
+++ b/spoolcrank/standin_backend.py
@@ -16,7 +16,7 @@
 from spoolcrank._web import HttpReply, HttpRequest, Reply, json_reply
 from spoolcrank.ids import Address, AvailabilityZone, Incarnation, InstanceId, ServiceName, unique
 from spoolcrank.resources import Resources
-from spoolcrank.worker import BY_PATH, Refused
+from spoolcrank.worker import ADAPTERS_BY_PATH, Refused
 
 _ADVANCE_INTERVAL_S = 0.02
 _SERVICE_TIME_JITTER = 0.2
@@ -159,7 +159,7 @@
             self._set_faults(req, reply)
         elif self._faults.silent:
             return
-        elif req.path in BY_PATH:
+        elif req.path in ADAPTERS_BY_PATH:
             reply(self._execute_command(req))
         elif req.path == "/health":
             reply(json_reply(200, {"instance": self._settings.instance_id}))
@@ -170,10 +170,10 @@
 
     def _execute_command(self, req: HttpRequest) -> HttpReply:
         try:
-            cmd = BY_PATH[req.path].validate_json(req.body)
+            cmd = ADAPTERS_BY_PATH[req.path].validate_json(req.body)
         except ValidationError as exc:
             return json_reply(400, {"error": str(exc)})
-        answer = self.worker.obey(cmd, time.time())
+        answer = self.worker.execute(cmd, time.time())
         status = 409 if isinstance(answer, Refused) else 200
         return json_reply(status, answer.model_dump(mode="json"))
 
--- a/spoolcrank/start_window.py
+++ b/spoolcrank/start_window.py
@@ -16,15 +16,15 @@
 from dataclasses import dataclass, field
 
 from spoolcrank.ids import AvailabilityZone
-from spoolcrank.unkept import BoundRun
+from spoolcrank.pending_writes import BoundRun
 from spoolcrank.workflow import TaskKey
 from spoolcrank.zone_silence import ZoneSilence
 
-START_BYTES = 400
+START_OVERHEAD_BYTES = 400
 """Size of a start without payload and checkpoint, in bytes: some 250 for headers, the rest for the
 body."""
 
-FIRST_WINDOW = 32 * 1024
+INITIAL_WINDOW_BYTES = 32 * 1024
 """Initial limit on the bytes in flight, before anything is known about the link. It takes 0.26 s on
 a link of 1 Mbit/s, the slowest that the platform provides, and allows 6 MB per second on a usual
 one with answers after 5 ms."""
@@ -41,7 +41,7 @@
 that wait for the link, and delay the jobs that arrive next: with 2 an urgent task of a simulated
 burst over 1 Mbit/s started after 0.6 to 0.8 s, with 1.25 after 0.4 to 0.55 s."""
 
-LATE_S = 0.15
+LATE_ANSWER_S = 0.15
 """Time after which an answer counts as late, in seconds: a quarter of an order's time-out. Answers
 usually take 2 to 5 ms, and one poll answer of a busy runner does not delay a start this much."""
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Flying:
+class InFlightStart:
     """A start in flight.
 
     Attributes:
@@ -84,12 +84,12 @@
     """
 
     waiting: deque[BoundRun] = field(default_factory=deque)
-    limit: float = FIRST_WINDOW
+    limit: float = INITIAL_WINDOW_BYTES
     held_back: bool = False
-    turn_at: float = -1.0
+    last_turn_at: float = -1.0
     zones: ZoneSilence = field(default_factory=ZoneSilence)
     _slow_start: bool = True
-    _in_flight: dict[tuple[TaskKey, int], Flying] = field(default_factory=dict)
+    _in_flight: dict[tuple[TaskKey, int], InFlightStart] = field(default_factory=dict)
     _in_flight_bytes: int = 0
     _last_sent_at: float = -1.0
     _last_quick_answer_at: float = -1.0
@@ -100,13 +100,13 @@
         """Return whether the window has free space; one start at a time may always be sent."""
         return self._in_flight_bytes < self.limit
 
-    def takes(self, now: float) -> bool:
+    def may_send(self, now: float) -> bool:
         """Return whether one more start may be sent now.
 
         If the window is full and no start was sent for LATE_ANSWER_S, all starts in flight may be
         at silent runners. A quick answer to one more start shows whether that is so.
         """
-        return self.open or (bool(self._in_flight) and now - self._last_sent_at >= LATE_S)
+        return self.open or (bool(self._in_flight) and now - self._last_sent_at >= LATE_ANSWER_S)
 
     @property
     def blocked(self) -> bool:
@@ -116,8 +116,8 @@
     def silent_zones(self, now: float) -> frozenset[AvailabilityZone]:
         """Return the availability zones that appear to be partitioned now."""
         for start in self._in_flight.values():
-            if now - start.sent_at >= LATE_S:
-                self.zones.missed(start.zone, start.sent_at)
+            if now - start.sent_at >= LATE_ANSWER_S:
+                self.zones.record_no_answer(start.zone, start.sent_at)
         return self.zones.silent(now)
 
     def sent(
@@ -130,11 +130,11 @@
     ) -> None:
         """Record a start that is sent now."""
         self._remove_in_flight(task, run)
-        self._in_flight[task, run] = Flying(size, now, zone)
+        self._in_flight[task, run] = InFlightStart(size, now, zone)
         self._in_flight_bytes += size
         self._last_sent_at = now
 
-    def _remove_in_flight(self, task: TaskKey, run: int) -> Flying | None:
+    def _remove_in_flight(self, task: TaskKey, run: int) -> InFlightStart | None:
         start = self._in_flight.pop((task, run), None)
         if start is not None:
             self._in_flight_bytes -= start.size
@@ -147,7 +147,7 @@
         if start is None:
             return
         self.zones.answered(start.zone, start.sent_at)
-        if took_s >= LATE_S:
+        if took_s >= LATE_ANSWER_S:
             self._shrink(start, now)
             return
         self._last_quick_answer_at = now
@@ -156,14 +156,14 @@
             growth = start.size if self._slow_start else WINDOW_STEP_BYTES * start.size / self.limit
             self.limit = min(MAX_WINDOW_BYTES, self.limit + growth)
 
-    def _discount_silent(self, answered_start: Flying) -> None:
+    def _discount_silent(self, answered_start: InFlightStart) -> None:
         """Stop counting starts that were sent long before one that was answered quickly.
 
         Their runners are silent; the link is not full. If a zone is partitioned, starts that wait
         there for their time-out would otherwise fill the window.
         """
         for start in self._in_flight.values():
-            if start.sent_at > answered_start.sent_at - LATE_S:
+            if start.sent_at > answered_start.sent_at - LATE_ANSWER_S:
                 return
             self._in_flight_bytes -= start.size
             start.size = 0
@@ -177,11 +177,11 @@
         start = self._remove_in_flight(task, run)
         if start is None:
             return
-        self.zones.missed(start.zone, start.sent_at)
+        self.zones.record_no_answer(start.zone, start.sent_at)
         if self._last_quick_answer_at < start.sent_at:
             self._shrink(start, now)
 
-    def _shrink(self, start: Flying, now: float) -> None:
+    def _shrink(self, start: InFlightStart, now: float) -> None:
         # A start sent before the last change says nothing about the window since.
         if start.sent_at < self._last_shrunk_at:
             return
@@ -197,4 +197,4 @@
         """
         room = BIND_AHEAD_FACTOR * self.limit - self._in_flight_bytes - waiting_bytes
         # One byte allows exactly one more start to be bound.
-        return max(1.0, room) if not waiting_bytes and self.takes(now) else room
+        return max(1.0, room) if not waiting_bytes and self.may_send(now) else room
--- a/spoolcrank/state.py
+++ b/spoolcrank/state.py
@@ -16,11 +16,11 @@
 )
 from spoolcrank.ledger import Ledger
 from spoolcrank.membership import Members, ServerStatus
-from spoolcrank.owned_server import Action, OwnedServer, Phase, Situation
+from spoolcrank.owned_server import Action, LogStatus, OwnedServer, Phase
 from spoolcrank.placement import Obstacle
 from spoolcrank.policy import DEFAULT, Policy
-from spoolcrank.resources import NOTHING, Resources
-from spoolcrank.slot_use import kept_slots
+from spoolcrank.resources import NO_RESOURCES, Resources
+from spoolcrank.slot_use import reserved_slots
 
 _LOG_TIMEOUT_S = 4.0
 
@@ -37,7 +37,7 @@
     busy: int
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """An action: count and log an event."""
 
     name: str
@@ -51,7 +51,7 @@
     at: float
 
 
-CoreAction = Action | Handover | Note
+CoreAction = Action | Handover | LogEvent
 
 
 @dataclass
@@ -78,12 +78,14 @@
     stopping: bool = False
     service_rate: Callable[[ServiceName], float] = field(default=lambda service: 0.0)
     busy_slots: Callable[[InstanceId], int] = field(default=lambda server: 0)
-    learnt: interference.Learnt = field(default_factory=interference.Learnt)
+    interference_model: interference.InterferenceModel = field(
+        default_factory=interference.InterferenceModel
+    )
 
-    def situation(self, now: float) -> Situation:
+    def log_status(self, now: float) -> LogStatus:
         """Return whether the log answers, and when it was last read to its end."""
         log_ok = now - self.log_ok_at <= _LOG_TIMEOUT_S and self.log_ok_at > self.log_failed_at
-        return Situation(log_ok, self.log_ok_at)
+        return LogStatus(log_ok, self.log_ok_at)
 
     def server_status(
         self,
@@ -116,16 +118,16 @@
     """Return the free capacity of an owned server for tasks; none if it may take no tasks."""
     instance = core.members.listed.get(owned.server)
     if instance is None or owned.phase is not Phase.READY:
-        return NOTHING
+        return NO_RESOURCES
     if ownership.drained(core.members, core.ledger, owned.server):
-        return NOTHING
+        return NO_RESOURCES
     return usable_capacity(core, owned, instance).minus(servers.allocated(owned, core.ledger))
 
 
 def usable_capacity(core: Core, owned: OwnedServer, instance: Instance) -> Resources:
     """Return the total capacity for tasks of an owned server, given its runner's recent use."""
     use = owned.runner_use
-    busy = instance.slots if use is None else kept_slots(use, instance.slots)
+    busy = instance.slots if use is None else reserved_slots(use, instance.slots)
     return placement.usable(instance, busy, core.policy)
 
 
--- a/spoolcrank/state_source.py
+++ b/spoolcrank/state_source.py
@@ -23,7 +23,7 @@
             answering or candidates, key=lambda candidate: candidate.ledger_offset, default=None
         )
 
-    def answered(self, peer: InstanceId, has_answered: bool) -> None:
+    def record_answer(self, peer: InstanceId, has_answered: bool) -> None:
         """Record whether a peer answered its last query."""
         if has_answered:
             self._silent.discard(peer)
--- a/spoolcrank/step_times.py
+++ b/spoolcrank/step_times.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._queues: dict[RouteName, QueueTimes] = {}
 
-    def learnt(self) -> tuple[QueueTimes, ...]:
+    def learned_state(self) -> tuple[QueueTimes, ...]:
         """Return the state for the next leader."""
         return tuple(self._queues.values())
 
--- a/spoolcrank/store_port.py
+++ b/spoolcrank/store_port.py
@@ -10,7 +10,7 @@
 
 from spoolcrank.keyed_log import KeyedRecord
 
-CALL_S = 0.8
+CALL_TIMEOUT_S = 0.8
 """The time without data after which a call of the store fails, seconds: 200 times the usual answer
 time. It also limits the whole of an append, because the answer to an append is small."""
 
@@ -22,11 +22,11 @@
     conditions hold.
     """
 
-    KEPT = "kept"
-    NOT_KEPT = "not-kept"
+    STORED = "kept"
+    NOT_STORED = "not-kept"
     FENCED = "fenced"
     OUT_OF_ORDER = "out-of-order"
-    MOVED = "moved"
+    OFFSET_MISMATCH = "moved"
     UNKNOWN = "unknown"
 
 
--- a/spoolcrank/takeover.py
+++ b/spoolcrank/takeover.py
@@ -1,8 +1,9 @@
 """Restore a leader's state from the records, and log each job that is read."""
 
+from spoolcrank.decoding import Unreadable
 from spoolcrank.job_state import JobState
 from spoolcrank.keyed_log import (
-    LEARNT_KEY,
+    LEARNED_KEY,
     KeyedLog,
     KeyedRecord,
     RecordKind,
@@ -11,8 +12,7 @@
     kind_of,
     progress_key,
 )
-from spoolcrank.learnt import decode_learnt
-from spoolcrank.reading import Unreadable
+from spoolcrank.learned_state import decode_learned_state
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.telemetry import Telemetry
 from spoolcrank.workflow import decode_job, decode_progress
@@ -29,11 +29,11 @@
     try:
         restore_learned(scheduler, copy)
     except Unreadable as exc:
-        log_unreadable_record(telemetry, copy.newest[LEARNT_KEY], str(exc))
+        log_unreadable_record(telemetry, copy.newest[LEARNED_KEY], str(exc))
     for key, record in list(copy.newest.items()):
         if record.value and kind_of(key) is RecordKind.JOB:
             read_job(scheduler, copy, record, telemetry, now, time_of_day_ms, taking_over=True)
-    telemetry.log("took-over", grave=True, term=scheduler.term, jobs=len(scheduler.jobs))
+    telemetry.log("took-over", important=True, term=scheduler.term, jobs=len(scheduler.jobs))
 
 
 def read_job(
@@ -79,10 +79,10 @@
 
 def restore_learned(scheduler: Scheduler, copy: KeyedLog) -> None:
     """Restore the state learned by earlier leaders; raise Unreadable if it cannot be read."""
-    value = copy.value(LEARNT_KEY)
+    value = copy.value(LEARNED_KEY)
     if not value:
         return
-    stored = decode_learnt(value)
+    stored = decode_learned_state(value)
     scheduler.contention.restore(stored.images)
     scheduler.times.restore(stored.times)
 
@@ -107,9 +107,13 @@
 
 def log_unreadable_record(telemetry: Telemetry, record: KeyedRecord, why: str) -> None:
     """Log that a record of the scheduler's log is skipped; the state stays unchanged."""
-    telemetry.log("record-unreadable", grave=True, key=record.key, offset=record.offset, why=why)
+    telemetry.log(
+        "record-unreadable", important=True, key=record.key, offset=record.offset, why=why
+    )
 
 
 def log_unreadable_entry(telemetry: Telemetry, record: KeyedRecord, why: str) -> None:
     """Log that an entry in the list of runners is skipped; its runner is not used."""
-    telemetry.log("entry-unreadable", grave=True, runner=record.key, offset=record.offset, why=why)
+    telemetry.log(
+        "entry-unreadable", important=True, runner=record.key, offset=record.offset, why=why
+    )
--- a/spoolcrank/telemetry.py
+++ b/spoolcrank/telemetry.py
@@ -71,10 +71,10 @@
         eliot.add_destinations(self._add_line)
         timers.every(FLUSH_S, self.flush)
 
-    def log(self, name: str, grave: bool = False, **fields: Any) -> None:
+    def log(self, name: str, important: bool = False, **fields: Any) -> None:
         """Count an event, and queue its line unless the rate limit drops it."""
         self.count(name)
-        rate = self._important_rate if grave else self._ordinary_rate
+        rate = self._important_rate if important else self._ordinary_rate
         if not rate.allow(time.monotonic()):
             self.left_out += 1
             return
--- a/spoolcrank/trace.py
+++ b/spoolcrank/trace.py
@@ -17,7 +17,7 @@
 from spoolcrank.membership import Heartbeat, Members
 from spoolcrank.owned_server import Append, Send
 from spoolcrank.records import Entry, dump
-from spoolcrank.state import CoreAction, Handover, Note
+from spoolcrank.state import CoreAction, Handover, LogEvent
 from spoolcrank.worker import Refused, Report
 
 _SUBJECT_FIELDS = ("task", "job", "server", "key", "target")
@@ -36,7 +36,7 @@
             return f"{type(command).__name__.lower()} {server} {task}".rstrip()
         case Handover():
             return f"handover {action.server} {action.to}"
-        case Note(name, fields):
+        case LogEvent(name, fields):
             return " ".join([f"note {name}", *(f"{k}={fields[k]}" for k in sorted(fields))])
 
 
@@ -66,33 +66,33 @@
         )
 
 
-def told_list(instances: list[Instance]) -> dict[str, Any]:
+def list_input(instances: list[Instance]) -> dict[str, Any]:
     """Return the input for the platform's instance list."""
     return {"kind": "list", "instances": dump_list(instances)}
 
 
-def told_entry(entry: Entry) -> dict[str, Any]:
+def entry_input(entry: Entry) -> dict[str, Any]:
     """Return the input for a record read from the log."""
     return {"kind": "entry", "offset": entry.offset, "envelope": dump(entry.envelope)}
 
 
-def told_ledger(ledger: Ledger) -> dict[str, Any]:
+def ledger_input(ledger: Ledger) -> dict[str, Any]:
     """Return the input for a ledger received from a peer or read from a snapshot."""
     return {"kind": "ledger", "ledger": dump_ledger(ledger)}
 
 
-def told_beat(heartbeat: Heartbeat) -> dict[str, Any]:
+def heartbeat_input(heartbeat: Heartbeat) -> dict[str, Any]:
     """Return the input for a peer's heartbeat, which holds the encoded thrift frame."""
     frame = _wire.encode(heartbeat.sender, heartbeat)
     return {"kind": "beat", "frame": base64.b64encode(frame).decode()}
 
 
-def told_report(server: InstanceId, report: Report, sent_at: float) -> dict[str, Any]:
+def report_input(server: InstanceId, report: Report, sent_at: float) -> dict[str, Any]:
     """Return the input for a worker's report."""
     body = report.model_dump(mode="json")
     return {"kind": "report", "server": server, "report": body, "sent_at": sent_at}
 
 
-def told_refused(server: InstanceId, refused: Refused) -> dict[str, Any]:
+def refusal_input(server: InstanceId, refused: Refused) -> dict[str, Any]:
     """Return the input for a worker's refusal of a command."""
     return {"kind": "refused", "server": server, "refused": refused.model_dump(mode="json")}
--- a/spoolcrank/worker.py
+++ b/spoolcrank/worker.py
@@ -139,7 +139,7 @@
 
 Command = Adopt | Renew | Start | Evict | Stop | Throttle
 
-PATHS: dict[type[Command], str] = {
+COMMAND_PATHS: dict[type[Command], str] = {
     Adopt: PATH_ADOPT,
     Renew: PATH_RENEW,
     Start: PATH_START,
@@ -147,7 +147,9 @@
     Stop: PATH_STOP,
     Throttle: PATH_THROTTLE,
 }
-BY_PATH: dict[str, TypeAdapter[Any]] = {path: TypeAdapter(cls) for cls, path in PATHS.items()}
+ADAPTERS_BY_PATH: dict[str, TypeAdapter[Any]] = {
+    path: TypeAdapter(cls) for cls, path in COMMAND_PATHS.items()
+}
 
 
 class Refused(_Message):
--- a/spoolcrank/worker_link.py
+++ b/spoolcrank/worker_link.py
@@ -10,7 +10,7 @@
 from spoolcrank.events import worker_refused, worker_reported, worker_silent
 from spoolcrank.ids import Address, InstanceId
 from spoolcrank.metrics import Metrics
-from spoolcrank.worker import PATHS, Command, Refused, Report
+from spoolcrank.worker import COMMAND_PATHS, Command, Refused, Report
 
 _COMMAND_TIMEOUT_S = 1.0
 _HTTP_CONFLICT = 409
@@ -29,7 +29,7 @@
         self._busy: set[InstanceId] = set()
         self._addresses: dict[InstanceId, Address] = {}
 
-    def know(self, server: InstanceId, address: Address) -> None:
+    def update_addresses(self, server: InstanceId, address: Address) -> None:
         """Set the address to which a worker's commands are sent."""
         self._addresses[server] = address
 
@@ -60,7 +60,7 @@
         call = HttpCall(
             address,
             "POST",
-            PATHS[type(command)],
+            COMMAND_PATHS[type(command)],
             {"Content-Type": "application/json"},
             command.model_dump_json().encode(),
             _COMMAND_TIMEOUT_S,
--- a/spoolcrank/workflow.py
+++ b/spoolcrank/workflow.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
+from spoolcrank.decoding import raises_unreadable
 from spoolcrank.ids import JobId, ServiceName
-from spoolcrank.reading import reader
 
 RunnerId = NewType("RunnerId", str)
 RouteName = NewType("RouteName", str)
@@ -148,7 +148,7 @@
     number: int
 
     @property
-    def of_step(self) -> StepKey:
+    def step_key(self) -> StepKey:
         """Return the key of the step to which the task belongs."""
         return StepKey(self.job, self.round, self.step)
 
@@ -174,7 +174,7 @@
 FINAL = frozenset({JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED})
 
 
-class CrashMark(msgspec.Struct, array_like=True, omit_defaults=True, frozen=True):
+class CrashEvidence(msgspec.Struct, array_like=True, omit_defaults=True, frozen=True):
     """The stored evidence that a runner crashed, or may have crashed, during a run of a task.
 
     Attributes:
@@ -195,7 +195,7 @@
     shared: bool = False
 
 
-class TaskMark(msgspec.Struct, array_like=True, omit_defaults=True):
+class StoredTask(msgspec.Struct, array_like=True, omit_defaults=True):
     """The stored state of one task that has left its initial state.
 
     Attributes:
@@ -214,16 +214,16 @@
     runner: str = ""
     saved: str = ""
     failures: int = 0
-    crashes: tuple[CrashMark, ...] = ()
+    crashes: tuple[CrashEvidence, ...] = ()
 
 
-class StepMark(msgspec.Struct, array_like=True, omit_defaults=True):
+class StoredStep(msgspec.Struct, array_like=True, omit_defaults=True):
     """The stored state of one step of one round; `done` means that all tasks are done."""
 
     round: int
     step: int
     done: bool = False
-    tasks: tuple[TaskMark, ...] = ()
+    tasks: tuple[StoredTask, ...] = ()
 
 
 class Progress(msgspec.Struct, array_like=True, omit_defaults=True):
@@ -236,7 +236,7 @@
     """
 
     phase: str
-    steps: tuple[StepMark, ...] = ()
+    steps: tuple[StoredStep, ...] = ()
     rounds_done: int = 0
 
 
@@ -258,20 +258,20 @@
     return code + zlib.compress(encode(progress), PROGRESS_LEVEL)
 
 
-PACKED = b"z"
+COMPRESSED_PREFIX = b"z"
 """The first byte of a job's record whose remaining bytes are compressed. This version reads such
 records but writes none, because instances of the previous version cannot read them."""
 
-LARGEST_JOB = 4 << 20
+MAX_JOB_BYTES = 4 << 20
 """The size limit of a decompressed job record, bytes: four times the largest request body that
 clients may submit."""
 
 
-@reader
+@raises_unreadable
 def decode_job(value: bytes) -> JobRecord:
     """Decode the stored form of a job, compressed or not; raise Unreadable if it is malformed."""
-    if value.startswith(PACKED):
-        value = zlib.decompressobj().decompress(value[1:], LARGEST_JOB)
+    if value.startswith(COMPRESSED_PREFIX):
+        value = zlib.decompressobj().decompress(value[1:], MAX_JOB_BYTES)
     record = _decode_job(value)
     problem = record.workflow.problem()
     if problem:
@@ -279,13 +279,13 @@
     return record
 
 
-@reader
+@raises_unreadable
 def decode_progress(value: bytes) -> Progress:
     """Decode the stored progress of a job; raise Unreadable if it is malformed."""
     return _decode_progress(zlib.decompress(value[1:]))
 
 
-@reader
+@raises_unreadable
 def stored_phase(value: bytes) -> JobPhase:
     """Decode only the phase, which every instance needs of every record.
 
--- a/spoolcrank/zone_silence.py
+++ b/spoolcrank/zone_silence.py
@@ -31,7 +31,7 @@
         """Record an answer to any call that was sent at `sent_at`."""
         self._last_answered_at = max(sent_at, self._last_answered_at)
 
-    def missed(self, zone: AvailabilityZone, sent_at: float) -> None:
+    def record_no_answer(self, zone: AvailabilityZone, sent_at: float) -> None:
         """Record a start that has not been answered so far."""
         known = self._missed.get(zone)
         if (
--- a/tests/fleet_runners.py
+++ b/tests/fleet_runners.py
@@ -20,7 +20,7 @@
     Stop,
 )
 from spoolcrank.runner_ids import RunnerName, name_of, runner_id
-from spoolcrank.runner_port import Polled
+from spoolcrank.runner_port import PollResult
 from spoolcrank.workflow import RunnerId, TaskKey
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self.fence = 0
         self.tasks: dict[TaskKey, Task] = {}
         self.ended: list[EndedRow] = []
-        self.above: dict[TaskKey, int] = {}
+        self.highest_run: dict[TaskKey, int] = {}
         self.ends = 0
         self.fails = False
         self.hangs = False
@@ -79,7 +79,7 @@
         self.lease_lapsed_at = -1.0
 
     @property
-    def life(self) -> RunnerId:
+    def incarnation_id(self) -> RunnerId:
         return runner_id(RunnerName(self.id), self.born)
 
     @property
@@ -94,7 +94,7 @@
         for key, task in list(self.tasks.items()):
             if self.forgets and task.worked_s > FORGET_AFTER_S:
                 self.tasks.pop(key)
-                self.world.on[key].discard(self.id)
+                self.world.running_on[key].discard(self.id)
             elif self.clock_ms > task.until_ms:
                 self.end(key, EndKind.LAPSED)
             elif task.stop_at is not None and self.world.now >= task.stop_at:
@@ -110,16 +110,16 @@
 
     def end(self, key: TaskKey, how: EndKind) -> None:
         task = self.tasks.pop(key)
-        self.world.on[key].discard(self.id)
+        self.world.running_on[key].discard(self.id)
         self.ends += 1
-        self.above[key] = max(task.run, self.above.get(key, 0))
+        self.highest_run[key] = max(task.run, self.highest_run.get(key, 0))
         self.ended.append(EndedRow(self.ends, key, task.run, how, ""))
         self.ended_at[self.ends] = self.world.now
 
     def crash(self) -> None:
         self.alive = False
         for key in self.tasks:
-            self.world.on[key].discard(self.id)
+            self.world.running_on[key].discard(self.id)
         self.tasks.clear()
 
     def start(self, order: Start) -> OrderResult:
@@ -135,7 +135,7 @@
             return self.world.refused[key.job]
         if current_task is not None and current_task.run == order.run:
             return OrderResult.DONE
-        if current_task is not None or order.run <= self.above.get(key, 0):
+        if current_task is not None or order.run <= self.highest_run.get(key, 0):
             return OrderResult.SUPERSEDED
         if (len(self.tasks) + 1) * 1000 > self.millicores:
             return OrderResult.NO_ROOM
@@ -144,14 +144,18 @@
 
     def _begin(self, key: TaskKey, order: Start) -> None:
         world = self.world
-        if world.on[key]:
-            world.broken.append(f"TWICE {key} run {order.run} on {self.id} and {world.on[key]}")
+        if world.running_on[key]:
+            world.violations.append(
+                f"TWICE {key} run {order.run} on {self.id} and {world.running_on[key]}"
+            )
         if key in world.done:
-            world.broken.append(f"TWICE {key} run {order.run} after its end was acknowledged")
-        recorded_at = world.noted.get(key, math.inf)
+            world.violations.append(f"TWICE {key} run {order.run} after its end was acknowledged")
+        recorded_at = world.acknowledged_at.get(key, math.inf)
         if world.now - recorded_at > MAX_IN_FLIGHT_S and not world.carried_out_late:
-            world.broken.append(f"AGAIN {key} run {order.run}, end acknowledged at {recorded_at}")
-        world.on[key].add(self.id)
+            world.violations.append(
+                f"AGAIN {key} run {order.run}, end acknowledged at {recorded_at}"
+            )
+        world.running_on[key].add(self.id)
         world.starts[key].append(world.now)
         if not world.carried_out_late:
             world.timely_starts[key].append(world.now)
@@ -173,7 +177,7 @@
         if order.target.fence < self.fence:
             return OrderResult.OUTRANKED
         self.fence = order.target.fence
-        self.above[order.task] = max(order.run, self.above.get(order.task, 0))
+        self.highest_run[order.task] = max(order.run, self.highest_run.get(order.task, 0))
         current_task = self.tasks.get(order.task)
         if (
             current_task is not None
@@ -183,9 +187,9 @@
             current_task.stop_at = self.world.now + STOP_DURATION_S
         return OrderResult.DONE
 
-    def poll(self, order: Poll) -> Polled:
+    def poll(self, order: Poll) -> PollResult:
         if order.target.fence < self.fence:
-            return Polled(OrderResult.OUTRANKED)
+            return PollResult(OrderResult.OUTRANKED)
         self.fence = order.target.fence
         if order.until_ms is not None:
             self._extend(order.until_ms)
@@ -200,10 +204,11 @@
             RunningRow(key, task.run, "", int(100 * task.worked_s / task.work_s), 900.0)
             for key, task in self.tasks.items()
         )
-        ended = tuple(self.ended[: self.world.ends_at_once])
-        is_complete = len(ended) < self.world.ends_at_once
-        return Polled(
-            OrderResult.DONE, Report(self.life, self.clock_ms, running, ended, is_complete)
+        ended = tuple(self.ended[: self.world.max_ends_per_answer])
+        is_complete = len(ended) < self.world.max_ends_per_answer
+        return PollResult(
+            OrderResult.DONE,
+            Report(self.incarnation_id, self.clock_ms, running, ended, is_complete),
         )
 
     def _record_done(self, row: EndedRow) -> None:
@@ -211,13 +216,13 @@
 
         The work itself is done either way.
         """
-        self.world.noted.setdefault(row.task, self.world.now)
+        self.world.acknowledged_at.setdefault(row.task, self.world.now)
         ended_at = self.ended_at[row.number]
         if self.lease_lapsed_at > ended_at:
             return
         self.world.done.add(row.task)
         if any(started_at > ended_at for started_at in self.world.starts[row.task]):
-            self.world.broken.append(f"TWICE {row.task} was started again after it was done")
+            self.world.violations.append(f"TWICE {row.task} was started again after it was done")
 
     def _extend(self, until_ms: float) -> None:
         until_ms = min(until_ms, self.clock_ms + MAX_LEASE_S * 1000)
@@ -252,7 +257,7 @@
     def pace(self, order: Pace, done: Callable[[Answered], None]) -> None:
         self._send(order, lambda runner: Answered(OrderResult.DONE, runner.clock_ms), done)
 
-    def poll(self, order: Poll, done: Callable[[Polled], None]) -> None:
+    def poll(self, order: Poll, done: Callable[[PollResult], None]) -> None:
         """Poll a runner; send acknowledged ends and a lease only to the intended incarnation.
 
         This follows real connections, which end with the incarnation they lead to: until an answer
@@ -261,20 +266,21 @@
         """
         polled_runners: list[Runner] = []
 
-        def act(runner: Runner) -> Polled:
+        def act(runner: Runner) -> PollResult:
             polled_runners[:] = [runner]
             is_connected = (
-                self._connected_to.get(runner.id) is runner and runner.life == order.target.runner
+                self._connected_to.get(runner.id) is runner
+                and runner.incarnation_id == order.target.runner
             )
             if is_connected or self._instance.world.trusts_connections:
                 return runner.poll(order)
             return runner.poll(order._replace(seen=0, until_ms=None))
 
         def handle_answer(answer: Any) -> None:
-            answered = isinstance(answer, Polled) and answer.report is not None
+            answered = isinstance(answer, PollResult) and answer.report is not None
             if answered and polled_runners:
                 self._connected_to[polled_runners[0].id] = polled_runners[0]
-            done(answer if isinstance(answer, Polled) else Polled(answer.result))
+            done(answer if isinstance(answer, PollResult) else PollResult(answer.result))
 
         self._send(order, act, handle_answer, order.wait_ms / 1000)
 
@@ -295,11 +301,11 @@
         if runner.id != name_of(order.target.runner):
             instance.later(0.002, lambda: done(Answered(OrderResult.OTHER_INCARNATION)))
             return
-        if world.random.random() < world.late_orders:
+        if world.random.random() < world.late_order_share:
             world.at(world.random.uniform(2, 12), lambda: world.carry_out_late(runner, act))
             instance.later(0.6, lambda: done(Answered(OrderResult.UNKNOWN)))
             return
-        if world.random.random() < world.lost_answers:
+        if world.random.random() < world.lost_answer_share:
             world.at(0.001, lambda: runner.alive and act(runner))
             instance.later(0.6, lambda: done(Answered(OrderResult.UNKNOWN)))
             return
@@ -338,4 +344,4 @@
     def _transit_s(self) -> float:
         """Return a random transit time, so that calls and answers can overtake one another."""
         world = self._instance.world
-        return world.random.uniform(0.0, world.slow_way_s) if world.slow_way_s else 0.0
+        return world.random.uniform(0.0, world.max_transit_s) if world.max_transit_s else 0.0
--- a/tests/fleet_store.py
+++ b/tests/fleet_store.py
@@ -15,7 +15,7 @@
     ReadOutcome,
     Records,
 )
-from tests.stored_progress import DoneTasks
+from tests.stored_progress import CompletedWork
 
 if TYPE_CHECKING:
     from tests.fleet_world import Instance, World
@@ -30,11 +30,11 @@
 class Topic:
     """One keyed topic: all its records and the fence of its writer."""
 
-    def __init__(self, broken: list[str]) -> None:
+    def __init__(self, violations: list[str]) -> None:
         self.records: list[KeyedRecord] = []
-        self._broken = broken
-        self._done = DoneTasks()
-        self.kept_from = 0
+        self._broken = violations
+        self._done = CompletedWork()
+        self.first_retained_offset = 0
         self.epoch = 0
         self.sequence = 0
         self.first_answers: dict[int, int] = {}
@@ -43,7 +43,8 @@
         record = KeyedRecord(key, value, len(self.records))
         self.records.append(record)
         self._broken += [
-            f"BACK {undone}, offset {record.offset}" for undone in self._done.take(record)
+            f"BACK {undone}, offset {record.offset}"
+            for undone in self._done.find_regressions(record)
         ]
 
     def append(self, append: Append) -> Appended:
@@ -52,14 +53,14 @@
             if refusal is not None:
                 return refusal
         if append.at is not None and append.at != len(self.records):
-            return Appended(AppendOutcome.MOVED)
+            return Appended(AppendOutcome.OFFSET_MISMATCH)
         first = len(self.records)
         for record in append.records:
             self.put(record.key, record.value)
         if append.fence is not None:
             self.epoch, self.sequence = append.fence
             self.first_answers[self.sequence] = first
-        return Appended(AppendOutcome.KEPT, first)
+        return Appended(AppendOutcome.STORED, first)
 
     def _check(self, append: Append) -> Appended | None:
         assert append.fence is not None
@@ -70,7 +71,7 @@
             self.first_answers = {}
             return None
         if sequence in self.first_answers and sequence > self.sequence - REMEMBERED_ANSWERS:
-            return Appended(AppendOutcome.KEPT, self.first_answers[sequence])
+            return Appended(AppendOutcome.STORED, self.first_answers[sequence])
         if sequence != self.sequence + 1:
             return Appended(AppendOutcome.OUT_OF_ORDER)
         return None
@@ -85,15 +86,15 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.jobs = Topic(world.broken)
-        self.entries = Topic(world.broken)
-        self.turned_away: set[str] = set()
-        self.answers_lost: set[str] = set()
+        self.jobs = Topic(world.violations)
+        self.entries = Topic(world.violations)
+        self.refused_instances: set[str] = set()
+        self.unanswered_instances: set[str] = set()
         self.slow_reads_s: dict[str, float] = {}
         self.silent = False
         self.slow_s = 0.0
-        self.lose_share = 0.0
-        self.late_share = 0.0
+        self.lost_append_answer_share = 0.0
+        self.late_append_share = 0.0
         self.answer_s = ANSWER_S
 
     def port(self, instance: Instance, topic: Topic) -> StorePort:
@@ -111,18 +112,18 @@
     def append(self, append: Append, done: Callable[[Appended], None]) -> None:
         world, store = self.store.world, self.store
         unknown = Appended(AppendOutcome.UNKNOWN)
-        if self.instance.name in store.turned_away:
-            self._answer_after(store.answer_s, done, Appended(AppendOutcome.NOT_KEPT))
+        if self.instance.name in store.refused_instances:
+            self._answer_after(store.answer_s, done, Appended(AppendOutcome.NOT_STORED))
         elif store.silent:
             self._answer_after(CALL_S, done, unknown)
-        elif world.random.random() < store.late_share:
+        elif world.random.random() < store.late_append_share:
             world.at(world.random.uniform(1, 6), lambda: self.topic.append(append))
             self._answer_after(CALL_S, done, unknown)
         else:
             if append.fence is not None:
                 world.repeat_call(lambda: self.topic.append(append))
-            is_answer_lost = world.random.random() < store.lose_share
-            is_answer_lost = is_answer_lost or self.instance.name in store.answers_lost
+            is_answer_lost = world.random.random() < store.lost_append_answer_share
+            is_answer_lost = is_answer_lost or self.instance.name in store.unanswered_instances
 
             def arrive() -> None:
                 answer = self.topic.append(append)
@@ -143,7 +144,7 @@
         def poll() -> None:
             if self._is_unreachable():
                 self._answer_after(CALL_S, done, Records(ReadOutcome.FAILED))
-            elif from_offset < self.topic.kept_from:
+            elif from_offset < self.topic.first_retained_offset:
                 self._answer_after(self.store.answer_s, done, Records(ReadOutcome.EXPIRED))
             elif len(self.topic.records) > from_offset or self.store.world.now >= until:
                 answer = tuple(self.topic.records[from_offset : from_offset + MAX_READ_RECORDS])
@@ -166,7 +167,7 @@
         self._answer_after(self.store.answer_s, done, answer)
 
     def _is_unreachable(self) -> bool:
-        return self.store.silent or self.instance.name in self.store.turned_away
+        return self.store.silent or self.instance.name in self.store.refused_instances
 
     def _answer_after(self, delay_s: float, done: Callable[[Any], None], answer: Any) -> None:
         self.instance.later(delay_s, lambda: done(answer))
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -63,31 +63,31 @@
     def __init__(self, seed: int = 1) -> None:
         self.now = 100.0
         self.random = random.Random(seed)
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.store = Store(self)
         self.runners: dict[str, Runner] = {}
         self.instances: dict[str, Instance] = {}
         self.done: set[TaskKey] = set()
-        self.noted: dict[TaskKey, float] = {}
+        self.acknowledged_at: dict[TaskKey, float] = {}
         self.starts: dict[TaskKey, list[float]] = defaultdict(list)
         self.timely_starts: dict[TaskKey, list[float]] = defaultdict(list)
-        self.on: dict[TaskKey, set[str]] = defaultdict(set)
+        self.running_on: dict[TaskKey, set[str]] = defaultdict(set)
         self.unreachable: set[tuple[str, str]] = set()
-        self.late_orders = 0.0
-        self.twice = 0.0
-        self.lost_answers = 0.0
-        self.slow_way_s = 0.0
+        self.late_order_share = 0.0
+        self.repeated_call_share = 0.0
+        self.lost_answer_share = 0.0
+        self.max_transit_s = 0.0
         self.link_bytes_per_s = math.inf
-        self.ends_at_once = 500
+        self.max_ends_per_answer = 500
         self.lasting_jobs: set[str] = set()
         self.crashing: dict[str | TaskKey, float] = {}
         self.gang_jobs: set[str] = set()
-        self.back_s = RESTART_DELAY_S
-        self.back_elsewhere = False
-        self.keeps_ids = 0.0
+        self.restart_delay_s = RESTART_DELAY_S
+        self.restarts_at_new_address = False
+        self.keeps_id_share = 0.0
         self.early_restart_share = 0.5
         self.trusts_connections = False
-        self.late_outlives = True
+        self.late_orders_outlive_restart = True
         self.carried_out_late = False
         self.refused: dict[str, OrderResult] = {}
         self.failing: dict[str, float] = {}
@@ -102,7 +102,7 @@
         self._id_numbers = itertools.count(1)
         self._tick()
 
-    def crash(self, runner: "Runner", back_s: float | None = None) -> None:
+    def crash(self, runner: "Runner", restart_delay_s: float | None = None) -> None:
         """Crash a runner and schedule its restart.
 
         The restarted runner has a new id, or with probability `keeps_id_share` its old one. Its
@@ -111,10 +111,12 @@
         """
         if not runner.alive:
             return
-        keeps_id = self.random.random() < self.keeps_ids
-        if back_s is None:
+        keeps_id = self.random.random() < self.keeps_id_share
+        if restart_delay_s is None:
             is_early = keeps_id and self.random.random() < self.early_restart_share
-            back_s = self.random.uniform(*(EARLY_RESTART_DELAY_S if is_early else self.back_s))
+            restart_delay_s = self.random.uniform(
+                *(EARLY_RESTART_DELAY_S if is_early else self.restart_delay_s)
+            )
         broken_gangs = {key[:3] for key in runner.tasks if key.job in self.gang_jobs}
         for key in runner.tasks:
             self.crashes[key].append(self.now)
@@ -127,7 +129,7 @@
 
         def restart() -> None:
             # The restarted runner keeps the properties that a test gave to the crashed one.
-            name = f"{runner.name}'" if self.back_elsewhere else runner.name
+            name = f"{runner.name}'" if self.restarts_at_new_address else runner.name
             runner_name = runner.id if keeps_id else None
             lag_s = self.random.uniform(0.0, MAX_ENTRY_LAG_S) if keeps_id else 0.0
             restarted = self.add_runner(name, runner_name, lag_s, millicores=runner.millicores)
@@ -135,14 +137,14 @@
             restarted.fails, restarted.hangs = runner.fails, runner.hangs
 
         self.at(ENTRY_LIFETIME_S, remove_entry)
-        self.at(back_s, restart)
+        self.at(restart_delay_s, restart)
 
     def check_attempts(self, key: TaskKey) -> None:
         """Report a start after the task's last permitted attempt was acknowledged as failed."""
         allowed = self.attempts.get(key.job, 0)
         failed = sorted(self.failed[key])
         if allowed and len(failed) >= allowed and self.starts[key][-1] > failed[allowed - 1]:
-            self.broken.append(f"BUDGET {key} was started again after {allowed} failed runs")
+            self.violations.append(f"BUDGET {key} was started again after {allowed} failed runs")
 
     def endless_jobs(self) -> set[str]:
         """Return the jobs whose tasks never end without an order: lasting and hanging ones."""
@@ -180,7 +182,7 @@
         while not condition():
             if self.now - begun > limit_s:
                 raise AssertionError(
-                    f"condition not met within {limit_s} s; violations: {self.broken}"
+                    f"condition not met within {limit_s} s; violations: {self.violations}"
                 )
             self.run(0.05)
         return self.now - begun
@@ -197,12 +199,12 @@
 
     def _apply_to_current_runner(self, runner: "Runner", act: Callable[["Runner"], object]) -> None:
         current_runner = self.runners[runner.id]
-        if current_runner.alive and (current_runner is runner or self.late_outlives):
+        if current_runner.alive and (current_runner is runner or self.late_orders_outlive_restart):
             act(current_runner)
 
     def repeat_call(self, act: Callable[[], object]) -> None:
         """Carry out a call a second time later, as can happen when a connection stops answering."""
-        if self.twice and self.random.random() < self.twice:
+        if self.repeated_call_share and self.random.random() < self.repeated_call_share:
             self.at(self.random.uniform(0.001, MAX_REPEAT_DELAY_S), act)
 
     def repeat_order(self, runner: "Runner", act: Callable[["Runner"], object]) -> None:
@@ -248,7 +250,7 @@
         if runner is None or value not in (b"ready", b"draining"):
             return runner_of(key, value)
         return RunnerEntry(
-            runner.life,
+            runner.incarnation_id,
             Address(runner.name),
             AvailabilityZone(runner.zone),
             SERVICE,
@@ -282,13 +284,13 @@
 
 
 @dataclass
-class Logged:
+class LogRecorder:
     """A log that collects lines; an internal error fails the test unless it is `expected`."""
 
     lines: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
     expected: bool = False
 
-    def log(self, name: str, grave: bool = False, **fields: Any) -> None:
+    def log(self, name: str, important: bool = False, **fields: Any) -> None:
         self.lines.append((name, fields))
         if name == "internal-error" and not self.expected:
             raise AssertionError(fields["trace"])
@@ -302,7 +304,7 @@
         self.name = name
         self.alive = True
         self.frozen_until = 0.0
-        self.logged = Logged()
+        self.logged = LogRecorder()
         self.index = JobIndex()
         timers: Any = Timers(self)
         log = world.store.port(self, world.store.jobs)
@@ -343,12 +345,12 @@
 
     def _handle_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
-            self.index.take(record)
+            self.index.apply_record(record)
         self.dispatcher.on_news(records)
 
     def _handle_entries(self, records: list[KeyedRecord]) -> None:
         if records:
-            self.dispatcher.on_runner_news(self.entries.copy)
+            self.dispatcher.on_runner_entries(self.entries.copy)
 
     def later(self, delay_s: float, action: Callable[[], None]) -> None:
         def act() -> None:
@@ -375,19 +377,19 @@
         job: str,
         *steps: Step,
         max_attempts: int = 3,
-        told: list[IntakeOutcome] | None = None,
+        outcomes: list[IntakeOutcome] | None = None,
         payload: str = "payload",
         priority: int = 0,
     ) -> list[IntakeOutcome]:
         record = JobRecord(
             ROUTE, SERVICE, priority, max_attempts, 250, 1.5, Workflow(payload, steps)
         )
-        told = [] if told is None else told
-        self.intake.submit(JobId(job), record, told.append)
-        return told
+        outcomes = [] if outcomes is None else outcomes
+        self.intake.submit(JobId(job), record, outcomes.append)
+        return outcomes
 
 
-def small(instances: int = 3, runners: int = 4, seed: int = 1) -> World:
+def small_world(instances: int = 3, runners: int = 4, seed: int = 1) -> World:
     """Return a small simulated fleet that has elected a leader."""
     world = World(seed)
     for number in range(runners):
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -6,7 +6,7 @@
 
 from bench.processes import BackendPlan, Fleet, Process, call, plan_backends, wait_for
 from bench.proxy import Proxy
-from spoolcrank import load, promises
+from spoolcrank import invariants, load
 from spoolcrank.load import LoadPlan, LoadReport
 
 SERVICE = "quotes"
@@ -129,16 +129,18 @@
             self._thread.join(60)
         return self.report
 
-    def breaches(self) -> list[promises.Breach]:
+    def breaches(self) -> list[invariants.Breach]:
         """Stop the load and return every violated invariant."""
         report = self.stop_load()
         journals = [self.fleet.journal(name) for name in self.fleet.backends]
-        violations = promises.check([*journals, *self.ended_journals], report.seen, self.once_only)
+        violations = invariants.check(
+            [*journals, *self.ended_journals], report.request_results, self.once_only
+        )
         if violations:
             self._print_records(violations, journals)
         return violations
 
-    def _print_records(self, violations: list[promises.Breach], journals: list[Any]) -> None:
+    def _print_records(self, violations: list[invariants.Breach], journals: list[Any]) -> None:
         """Print all log records and journal entries of the task of the first violation."""
         task = violations[0].detail.replace(":", " ").split()[0]
         for item in self._records():
--- a/tests/stored_progress.py
+++ b/tests/stored_progress.py
@@ -1,14 +1,14 @@
 """Check that work which a stored record of a job shows as done stays done in later records."""
 
+from spoolcrank.decoding import Unreadable
 from spoolcrank.keyed_log import KeyedRecord, RecordKind, job_of_key, kind_of
-from spoolcrank.reading import Unreadable
 from spoolcrank.workflow import Phase, Progress, TaskKey, decode_progress
 
 Step = tuple[str, int, int]
 """Job, round and step."""
 
 
-class DoneTasks:
+class CompletedWork:
     """The tasks, steps and rounds that are done by the newest record of each job."""
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         self._steps: dict[str, set[Step]] = {}
         self._rounds: dict[str, int] = {}
 
-    def take(self, record: KeyedRecord) -> list[str]:
+    def find_regressions(self, record: KeyedRecord) -> list[str]:
         """Record the progress of a job, and return the work that was done and is not any more."""
         if kind_of(record.key) is not RecordKind.PROGRESS or not record.value:
             return []
--- a/tests/test_claiming.py
+++ b/tests/test_claiming.py
@@ -19,10 +19,10 @@
     Offer,
     decode_claim,
 )
-from spoolcrank.log_follower import LAZY_GAP_S
+from spoolcrank.log_follower import LAZY_READ_DELAY_S
 from spoolcrank.store_port import Append, Appended
 from spoolcrank.workflow import Step, encode
-from tests.fleet_world import Logged, World, small
+from tests.fleet_world import LogRecorder, World, small_world
 
 NOW = 100.0
 
@@ -65,13 +65,13 @@
     leadership = _silent_leader()
     log: Any = _Log()
     follower: Any = _Follower(lambda: leadership.record_leader_write(NOW) if lives else None)
-    logged: Any = Logged()
+    logged: Any = LogRecorder()
     Claiming(leadership, log, follower, logged, lambda: NOW).claim_or_offer(NOW)
     assert len(log.appends) == claims
 
 
 def test_a_smaller_instance_waits_out_all_that_may_hold_a_large_one_up() -> None:
-    assert SMALLER_INSTANCE_DELAY_S >= CLAIM_JITTER_S + LAZY_GAP_S + TICK_S
+    assert SMALLER_INSTANCE_DELAY_S >= CLAIM_JITTER_S + LAZY_READ_DELAY_S + TICK_S
 
 
 def test_a_claim_counts_from_the_first_sending_of_its_term() -> None:
@@ -84,7 +84,7 @@
 
 
 def test_a_claim_that_is_read_back_late_counts_from_when_it_was_sent() -> None:
-    world = small(instances=2)
+    world = small_world(instances=2)
     leader = world.leader()
     assert leader is not None
     other = next(one for one in world.instances.values() if one is not leader)
@@ -98,7 +98,7 @@
 
 def test_the_first_offer_that_is_read_names_the_heir() -> None:
     """A second successor would claim at the same time, and the others would wait for both."""
-    world = small(instances=3)
+    world = small_world(instances=3)
     leader = world.leader()
     assert leader is not None
     world.run(1.0)
@@ -108,13 +108,13 @@
     world.run_until(lambda: leader.dispatcher.scheduler is None)
     claims = [one for one in world.store.jobs.records if one.key == LEADER_KEY]
     resigned = [decode_claim(one.value) for one in claims]
-    heirs = [one.heir for one in resigned if one.resigned]
+    heirs = [one.successor for one in resigned if one.resigned]
     assert heirs == [Incarnation("large-1-1")]
 
 
 def test_a_pass_in_parts_goes_on_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """If a part binds nothing, nothing else triggers a decision before the next tick (0.1 s)."""
-    monkeypatch.setattr(placing_pass, "MOST_WEIGHED", 8)
+    monkeypatch.setattr(placing_pass, "MAX_PAIRS_PER_PART", 8)
     world = World(1)
     for number in range(8):
         world.add_runner(f"10.0.0.{number}:80", millicores=64_000)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -11,21 +11,21 @@
 from bench.compare import Pair, Play, interval, read_play, table, without
 
 
-def report(worth: float | None, breaks: dict[str, int] | None = None) -> dict[str, Any]:
+def report(score: float | None, breaks: dict[str, int] | None = None) -> dict[str, Any]:
     return {
-        "G": worth,
+        "G": score,
         "classes": [{"name": "a", "worth": 0.5}, {"name": "b", "worth": 0.25}],
         "breaks": breaks or {},
         "short": [],
     }
 
 
-def play(worth: float, broken: dict[str, int] | None = None) -> Play:
-    return read_play(report(worth, broken))
+def play(score: float, broken: dict[str, int] | None = None) -> Play:
+    return read_play(report(score, broken))
 
 
 def test_report_without_a_value_counts_as_zero() -> None:
-    assert read_play(report(None)).worth == 0.0
+    assert read_play(report(None)).score == 0.0
 
 
 def test_equal_differences_give_an_interval_without_width() -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -42,10 +42,10 @@
 ) -> None:
     daemon = _daemon(tmp_path)
     first = json.dumps({"version": 7, "routes": [ROUTE]}).encode()
-    daemon._on_operator_news([KeyedRecord("config", first, 1)])
+    daemon._on_operator_records([KeyedRecord("config", first, 1)])
     assert _version(daemon) == 7
-    daemon._on_operator_news([KeyedRecord("config", value, 2)])
+    daemon._on_operator_records([KeyedRecord("config", value, 2)])
     assert _version(daemon) == 7
     newer = json.dumps({"version": 9, "routes": [ROUTE]}).encode()
-    daemon._on_operator_news([KeyedRecord("config", newer, 3)])
+    daemon._on_operator_records([KeyedRecord("config", newer, 3)])
     assert _version(daemon) == 9
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -6,11 +6,11 @@
 import pytest
 
 from spoolcrank import job_state, placing, runner_loss
-from spoolcrank.crash_record import clears_after_s, is_guilty, with_mark
+from spoolcrank.crash_history import causes_crashes, clears_after_s, with_evidence
 from spoolcrank.ids import JobId
 from spoolcrank.job_state import JobState
 from spoolcrank.workflow import (
-    CrashMark,
+    CrashEvidence,
     JobPhase,
     Progress,
     Step,
@@ -18,7 +18,7 @@
     decode_progress,
     encode_progress,
 )
-from tests.fleet_world import Instance, Runner, World, small
+from tests.fleet_world import Instance, Runner, World, small_world
 from tests.test_crashing_tasks import MAX_STARTS, ONE, busy
 
 TASK = TaskKey(JobId("bad0"), 0, 0, 0)
@@ -30,8 +30,8 @@
 
 def _evidence(
     number: int, lived_ms: int = 20, alone: bool = True, proved: bool = True
-) -> CrashMark:
-    return CrashMark(f"i-{number}", f"10.0.0.{number}:80", lived_ms, alone, proved)
+) -> CrashEvidence:
+    return CrashEvidence(f"i-{number}", f"10.0.0.{number}:80", lived_ms, alone, proved)
 
 
 # Decision from the evidence
@@ -39,37 +39,37 @@
 
 def test_three_crashes_soon_after_the_start_prove_a_crash_causing_task() -> None:
     entries = tuple(_evidence(number) for number in range(3))
-    assert is_guilty(entries, HIGH_RATE_PER_S)
-    assert not is_guilty(entries[:2], LOW_RATE_PER_S)
+    assert causes_crashes(entries, HIGH_RATE_PER_S)
+    assert not causes_crashes(entries[:2], LOW_RATE_PER_S)
 
 
 def test_crashes_beside_other_recent_starts_prove_nothing() -> None:
     entries = tuple(_evidence(number, alone=False) for number in range(4))
-    assert not is_guilty(entries, LOW_RATE_PER_S)
+    assert not causes_crashes(entries, LOW_RATE_PER_S)
 
 
 def test_crashes_late_in_a_run_prove_nothing_where_runners_crash_often() -> None:
     entries = tuple(_evidence(number, lived_ms=4000) for number in range(3))
-    assert not is_guilty(entries, HIGH_RATE_PER_S)
-    assert is_guilty(entries, LOW_RATE_PER_S)
+    assert not causes_crashes(entries, HIGH_RATE_PER_S)
+    assert causes_crashes(entries, LOW_RATE_PER_S)
 
 
 def test_crashes_of_one_machine_count_as_one_alone() -> None:
-    entries = tuple(CrashMark(f"i-{number}", "10.0.0.1:80", 20, True) for number in range(4))
-    assert not is_guilty(entries, LOW_RATE_PER_S)
+    entries = tuple(CrashEvidence(f"i-{number}", "10.0.0.1:80", 20, True) for number in range(4))
+    assert not causes_crashes(entries, LOW_RATE_PER_S)
 
 
 def test_a_task_that_crashes_at_one_point_of_its_work_is_detected_from_its_checkpoint() -> None:
     """The first run reaches the crash from the start of the work, later ones from a checkpoint."""
-    entries: tuple[CrashMark, ...] = ()
+    entries: tuple[CrashEvidence, ...] = ()
     for number, lived_ms in enumerate((3000, 700, 700)):
-        entries = with_mark(entries, _evidence(number, lived_ms))
+        entries = with_evidence(entries, _evidence(number, lived_ms))
     assert len(entries) == 3
-    assert is_guilty(entries, LOW_RATE_PER_S)
+    assert causes_crashes(entries, LOW_RATE_PER_S)
 
 
 def test_a_crash_counts_once_for_each_runner() -> None:
-    entries = with_mark(with_mark((), _evidence(1, proved=False)), _evidence(1))
+    entries = with_evidence(with_evidence((), _evidence(1, proved=False)), _evidence(1))
     assert entries == (_evidence(1),)
 
 
@@ -77,7 +77,7 @@
 
 
 def test_evidence_is_stored_and_records_without_it_are_read() -> None:
-    world = small()
+    world = small_world()
     outcomes = world.instances["entry-0"].submit("bad0", ONE)
     world.run_until(lambda: bool(outcomes))
     leader = world.leader()
@@ -100,7 +100,7 @@
 
 def _running(lasting: bool = False) -> tuple[World, Instance, Runner]:
     """Return a world in which one task has been running for a second."""
-    world = small()
+    world = small_world()
     for runner in world.runners.values():
         runner.work_s = 30.0
     leader = world.leader()
@@ -110,19 +110,19 @@
     return world, leader, next(runner for runner in world.runners.values() if runner.tasks)
 
 
-def _crashes(leader: Instance) -> tuple[CrashMark, ...]:
+def _crashes(leader: Instance) -> tuple[CrashEvidence, ...]:
     assert leader.dispatcher.scheduler is not None
     return leader.dispatcher.scheduler.jobs[JobId("bad0")].task(TASK).crashes
 
 
 def _crash(world: World, runner: Runner) -> None:
-    world.crash(runner, back_s=2.0)
+    world.crash(runner, restart_delay_s=2.0)
     world.run(4.0)
 
 
 def _crash_until_leases_expire(world: World, runner: Runner) -> None:
     """The runner returns after its leases have expired and the task has restarted: late proof."""
-    world.crash(runner, back_s=9.0)
+    world.crash(runner, restart_delay_s=9.0)
     world.run(8.5)
     leader = world.leader()
     assert leader is not None
@@ -193,7 +193,7 @@
     happens(world, runner)
     entries = _crashes(leader)
     assert [evidence.proved for evidence in entries] == [True] * counts
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_suspect_that_lives_on_is_cleared() -> None:
@@ -225,9 +225,9 @@
 
 def _simulate(step: Step, crashing: dict[str | TaskKey, float], seed: int, back: Back) -> World:
     """Simulate one job whose tasks crash runners, beside sound jobs."""
-    world = small(instances=4, runners=8, seed=seed)
+    world = small_world(instances=4, runners=8, seed=seed)
     world.crashing = crashing
-    world.back_s, world.back_elsewhere = back
+    world.restart_delay_s, world.restarts_at_new_address = back
     world.gang_jobs = {"bad0"} if step.gang else set()
     world.lasting_jobs = {"bad0"} if step.lasting else set()
     first = world.instances["entry-0"]
@@ -236,7 +236,7 @@
         first.submit(f"{number:04x}", Step(count=3, millicores=1000, memory_mb=100))
         world.run(0.5)
     world.run(60.0)
-    assert world.broken == []
+    assert world.violations == []
     phases = [first.index.phase(JobId(f"{number:04x}")) for number in range(40)]
     assert phases == [JobPhase.COMPLETED] * 40
     assert first.index.phase(JobId("bad0")) is JobPhase.FAILED
@@ -270,12 +270,12 @@
 # Mutations
 
 
-def _restore_without_evidence(step: job_state.StepState, stored: job_state.TaskMark) -> None:
+def _restore_without_evidence(step: job_state.StepState, stored: job_state.StoredTask) -> None:
     _restore_task(step, stored)
     step.tasks[stored.index].crashes = ()
 
 
-def _guilty_after_two(entries: tuple[CrashMark, ...], per_s: float) -> bool:
+def _guilty_after_two(entries: tuple[CrashEvidence, ...], per_s: float) -> bool:
     return len(entries) >= 2
 
 
@@ -313,7 +313,7 @@
 
 
 def test_starting_suspects_without_isolation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(placing, "starts_apart", lambda entries: False)
+    monkeypatch.setattr(placing, "needs_isolation", lambda entries: False)
     assert _starts_after_the_third() > MAX_TOTAL_STARTS
 
 
@@ -324,7 +324,7 @@
         test_sound_work_survives_a_period_of_ordinary_crashes as play,
     )
 
-    monkeypatch.setattr(runner_loss, "is_guilty", _guilty_after_two)
+    monkeypatch.setattr(runner_loss, "causes_crashes", _guilty_after_two)
     with pytest.raises(AssertionError):
         for seed in range(10):
             play(seed)
@@ -334,5 +334,5 @@
 # beside it.
 def test_five_crashes_soon_after_the_start_prove_a_crash_causing_task_beside_others() -> None:
     entries = tuple(_evidence(number, alone=False) for number in range(5))
-    assert is_guilty(entries, HIGH_RATE_PER_S)
-    assert not is_guilty(entries[:4], LOW_RATE_PER_S)
+    assert causes_crashes(entries, HIGH_RATE_PER_S)
+    assert not causes_crashes(entries[:4], LOW_RATE_PER_S)
--- a/tests/test_crashes_together.py
+++ b/tests/test_crashes_together.py
@@ -7,7 +7,7 @@
 
 from spoolcrank.ids import JobId
 from spoolcrank.workflow import JobPhase, Step, TaskKey
-from tests.fleet_world import World, small
+from tests.fleet_world import World, small_world
 from tests.test_crashing_tasks import MAX_STARTS, ONE
 from tests.test_other_writers import entry
 
@@ -23,9 +23,9 @@
 suspects."""
 
 
-def _lose_power(losses: int, seed: int, keeps_ids: float = 0.0, share: float = 1.0) -> World:
-    world = small(instances=4, runners=RUNNERS, seed=seed)
-    world.keeps_ids = keeps_ids
+def _lose_power(losses: int, seed: int, keeps_id_share: float = 0.0, share: float = 1.0) -> World:
+    world = small_world(instances=4, runners=RUNNERS, seed=seed)
+    world.keeps_id_share = keeps_id_share
     for runner in world.runners.values():
         runner.work_s = WORK_S
     for job in JOBS:
@@ -48,11 +48,11 @@
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("losses", [1, 2, 3, 5])
 def test_all_work_ends_soon_after_all_runners_lost_power(
-    losses: int, seed: int, keeps_ids: float
+    losses: int, seed: int, keeps_id_share: float
 ) -> None:
-    world = _lose_power(losses, seed, keeps_ids)
+    world = _lose_power(losses, seed, keeps_id_share)
     took_s = world.run_until(lambda: _ended(world), limit_s=400.0)
-    assert world.broken == []
+    assert world.violations == []
     assert took_s <= MAX_RECOVERY_S, f"{took_s:.1f} s"
 
 
@@ -61,7 +61,7 @@
 def test_all_work_ends_soon_after_some_runners_crashed_again_and_again(seed: int) -> None:
     world = _lose_power(4, seed, share=0.3)
     took_s = world.run_until(lambda: _ended(world), limit_s=400.0)
-    assert world.broken == []
+    assert world.violations == []
     assert took_s <= MAX_RECOVERY_S, f"{took_s:.1f} s"
 
 
@@ -71,12 +71,12 @@
     world = _lose_power(4, seed=15, share=0.3)
     world.run(SETTLE_S)
     assert _ended(world)
-    assert world.broken == []
+    assert world.violations == []
 
 
 # Guards against entries of other writers that remove the evidence against a crash-causing task.
 def test_an_entry_without_a_runner_is_not_a_failed_runner() -> None:
-    world = small(instances=2, runners=5, seed=2)
+    world = small_world(instances=2, runners=5, seed=2)
     world.crashing = {"bad0": 0.5}
     world.instances["entry-0"].submit("bad0", ONE, max_attempts=9)
     for number in range(120):
@@ -90,13 +90,13 @@
 # Guards against a leader that ends its term with an internal error when a runner was silent for
 # long.
 def test_a_runner_that_returns_after_long_silence_does_not_end_the_term() -> None:
-    world = small(instances=2, runners=5, seed=1)
-    world.keeps_ids = 1.0
+    world = small_world(instances=2, runners=5, seed=1)
+    world.keeps_id_share = 1.0
     leader = world.leader()
     assert leader is not None
     world.instances["entry-0"].submit("0001", STEP, max_attempts=9)
     world.run(2.0)
-    world.crash(next(iter(world.runners.values())), back_s=40.0)
+    world.crash(next(iter(world.runners.values())), restart_delay_s=40.0)
     world.run(60.0)
     assert world.leader() is leader
-    assert world.broken == []
+    assert world.violations == []
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -16,7 +16,7 @@
 from spoolcrank.ids import JobId
 from spoolcrank.job_intake import IntakeOutcome
 from spoolcrank.workflow import JobPhase, Step, TaskKey
-from tests.fleet_world import World, small
+from tests.fleet_world import World, small_world
 
 RUNNERS = 8
 INSTANCES = 4
@@ -45,22 +45,22 @@
 
     Return the world, the ids of the accepted sound jobs, and the ids of the crash-causing jobs.
     """
-    world = small(instances=INSTANCES, runners=RUNNERS, seed=seed)
+    world = small_world(instances=INSTANCES, runners=RUNNERS, seed=seed)
     bad = ["bad0", "bad1"]
     world.crashing = dict.fromkeys(bad, CRASH_WITHIN_S)
-    told = {f"{number:04x}": list[IntakeOutcome]() for number in range(SOUND)}
+    outcomes = {f"{number:04x}": list[IntakeOutcome]() for number in range(SOUND)}
     killed_at = world.now
-    for number, job in enumerate(told):
+    for number, job in enumerate(outcomes):
         if number in (8, 24):
             _instance(world).submit(bad[number // 16], ONE, max_attempts=9)
-        _instance(world).submit(job, WIDE, LAST, max_attempts=9, told=told[job])
+        _instance(world).submit(job, WIDE, LAST, max_attempts=9, outcomes=outcomes[job])
         world.run(EVERY_S)
         if kill_every_s and world.now - killed_at >= kill_every_s:
             killed_at = world.now
             _replace_leader(world, number)
     world.run(SETTLE_AFTER_KILLS_S if kill_every_s else SETTLE_S)
     # A client that got no answer because the instance was killed has no claim to a result.
-    return world, [job for job, got in told.items() if IntakeOutcome.KEPT in got], bad
+    return world, [job for job, got in outcomes.items() if IntakeOutcome.STORED in got], bad
 
 
 def _instance(world: World):  # type: ignore[no-untyped-def]
@@ -80,7 +80,7 @@
 
 
 def _check(world: World, sound: list[str], bad: list[str]) -> None:
-    assert world.broken == []
+    assert world.violations == []
     assert len(sound) > SOUND * 0.9
     starts = [world.starts_after_crashes(TaskKey(JobId(job), 0, 0, 0), 3) for job in bad]
     assert max(starts) <= MAX_STARTS, f"starts after the third crash: {starts}"
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_sound_work_survives_a_period_of_ordinary_crashes(seed: int) -> None:
     """No sound task is given up, of 800 of which 93 were hit by two crashes and 35 by three."""
-    world = small(instances=INSTANCES, runners=RUNNERS, seed=seed)
+    world = small_world(instances=INSTANCES, runners=RUNNERS, seed=seed)
     for runner in world.runners.values():
         runner.work_s = 6.0
     jobs = [f"{number:04x}" for number in range(40)]
@@ -113,5 +113,5 @@
             for runner in world.random.sample(alive, min(2, len(alive))):
                 world.crash(runner)
     world.run(SETTLE_S)
-    assert world.broken == []
+    assert world.violations == []
     assert _phases(world, jobs) == [JobPhase.COMPLETED] * len(jobs)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -8,7 +8,7 @@
 from spoolcrank.orders import EndKind
 from spoolcrank.polling import MAX_CONCURRENT_FIRST_POLLS
 from spoolcrank.workflow import JobPhase, Step
-from tests.fleet_world import World, small
+from tests.fleet_world import World, small_world
 
 QUICK = Step(count=3, millicores=1000, memory_mb=100, estimate_ms=600)
 AFTER = Step(count=2, millicores=1000, memory_mb=100, estimate_ms=600, after=(0,))
@@ -35,20 +35,20 @@
 
 
 def test_steps_run_in_order_and_the_job_completes_at_every_instance() -> None:
-    world = small()
+    world = small_world()
     told = world.instances["entry-0"].submit("a1", QUICK, AFTER)
     took_s = settle(world, "a1")
-    assert told == [IntakeOutcome.KEPT]
+    assert told == [IntakeOutcome.STORED]
     assert took_s < 2.2
     world.run(1.0)
     assert all(
         one.index.phase(JobId("a1")) is JobPhase.COMPLETED for one in world.instances.values()
     )
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_dead_leaders_runs_are_taken_over_and_nothing_runs_twice() -> None:
-    world = small()
+    world = small_world()
     for number in range(6):
         world.instances["entry-0"].submit(f"a{number}", QUICK, AFTER)
     world.run(0.5)
@@ -58,12 +58,12 @@
     took_s = world.run_until(lambda: world.leader() is not None)
     assert took_s < 3.0
     settle(world, *(f"a{number}" for number in range(6)))
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_the_next_process_of_the_leaders_instance_claims_without_waiting_for_silence() -> None:
     """After a total power loss nothing started for another 1.4 s, though the leader was gone."""
-    world = small()
+    world = small_world()
     world.instances["entry-0"].submit("a1", QUICK, AFTER)
     world.run(0.5)
     leader = world.leader()
@@ -73,11 +73,11 @@
     world.add_instance(leader.name)
     assert world.run_until(lambda: world.leader() is not None) < 0.6
     settle(world, "a1")
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_leader_that_freezes_and_wakes_does_no_harm() -> None:
-    world = small()
+    world = small_world()
     for number in range(6):
         world.instances["entry-0"].submit(f"a{number}", QUICK, AFTER)
     for _ in range(4):
@@ -87,12 +87,12 @@
         leader.freeze(4.0)
         world.run(4.5)
     settle(world, *(f"a{number}" for number in range(6)))
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_the_stop_of_an_inherited_run_waits_until_its_runner_is_taken_over() -> None:
     """The stop of a cancelled job was sent to a runner whose address had not been read yet."""
-    world = small(instances=1)
+    world = small_world(instances=1)
     lasting = Step(count=2, millicores=1000, memory_mb=100, lasting=True)
     instance = world.instances["entry-0"]
     for runner in world.runners.values():
@@ -106,13 +106,13 @@
     second.intake.cancel(JobId("b1"), told.append)
     world.run_until(lambda: world.leader() is not None)
     world.run(3.0)
-    assert told == [IntakeOutcome.KEPT]
+    assert told == [IntakeOutcome.STORED]
     assert all(not runner.tasks for runner in world.runners.values())
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_run_on_a_silent_runner_restarts_only_after_every_lease_has_passed() -> None:
-    world = small()
+    world = small_world()
     runner = next(iter(world.runners.values()))
     for one in world.runners.values():
         one.work_s = 60.0
@@ -124,12 +124,12 @@
     world.run(12.0)
     assert not runner.tasks
     assert sum(len(one.tasks) for one in world.runners.values()) == 8
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_tasks_live_through_six_seconds_behind_a_cut() -> None:
     """All tasks of a zone partitioned for 5.3 to 6.3 s lapsed just before the partition ended."""
-    world = small()
+    world = small_world()
     cut_off = next(iter(world.runners.values()))
     for one in world.runners.values():
         one.work_s = 60.0
@@ -144,11 +144,11 @@
     world.run(2.0)
     assert set(cut_off.tasks) == behind
     assert all(len(world.starts[key]) == 1 for key in behind)
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_runner_that_comes_back_as_another_life_frees_its_runs_at_once() -> None:
-    world = small()
+    world = small_world()
     runner = next(iter(world.runners.values()))
     for one in world.runners.values():
         one.work_s = 60.0
@@ -158,15 +158,15 @@
     world.add_runner(runner.name)
     took_s = world.run_until(lambda: sum(len(one.tasks) for one in world.runners.values()) == 8)
     assert took_s < 2.5
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_late_orders_and_lost_appends_repeat_nothing() -> None:
     for seed in range(6):
-        world = small(seed=seed)
-        world.late_orders = 0.15
-        world.store.lose_share = 0.2
-        world.store.late_share = 0.05
+        world = small_world(seed=seed)
+        world.late_order_share = 0.15
+        world.store.lost_append_answer_share = 0.2
+        world.store.late_append_share = 0.05
         names = [f"d{number}" for number in range(8)]
         for name in names:
             world.instances["entry-1"].submit(name, QUICK, AFTER)
@@ -175,30 +175,30 @@
         if leader is not None and seed % 2:
             leader.kill()
         world.run(10.0)
-        world.late_orders = 0.0
-        world.store.lose_share = world.store.late_share = 0.0
+        world.late_order_share = 0.0
+        world.store.lost_append_answer_share = world.store.late_append_share = 0.0
         kept = [name for name in names if phase(world, name) is not None]
         settle(world, *kept, limit_s=40.0)
-        assert world.broken == []
+        assert world.violations == []
 
 
 def test_a_leader_that_the_store_turns_away_is_replaced() -> None:
-    world = small()
+    world = small_world()
     leader = world.leader()
     assert leader is not None
-    world.store.turned_away.add(leader.name)
+    world.store.refused_instances.add(leader.name)
     others = [one for one in world.instances.values() if one is not leader]
     took_s = world.run_until(lambda: any(one.dispatcher.scheduler for one in others))
     assert took_s < 4.0
     told = others[0].submit("e1", QUICK)
     settle(world, "e1") if phase(world, "e1") else world.run(3.0)
-    assert told == [IntakeOutcome.KEPT]
+    assert told == [IntakeOutcome.STORED]
     assert leader.dispatcher.scheduler is None
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_tasks_live_through_seven_seconds_without_the_store() -> None:
-    world = small()
+    world = small_world()
     for one in world.runners.values():
         one.work_s = 12.0
     world.instances["entry-0"].submit("f1", Step(count=4, millicores=1000, memory_mb=100))
@@ -209,19 +209,19 @@
     world.run(0.5)
     assert sum(len(one.tasks) for one in world.runners.values()) == 4
     settle(world, "f1")
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_refused_job_never_runs_and_an_unsure_one_is_never_called_refused() -> None:
-    world = small()
+    world = small_world()
     instance = world.instances["entry-2"]
-    world.store.turned_away.add("entry-2")
+    world.store.refused_instances.add("entry-2")
     refused = instance.submit("aa", QUICK)
     world.run(0.1)
-    assert refused == [IntakeOutcome.NOT_KEPT]
+    assert refused == [IntakeOutcome.NOT_STORED]
     world.run(1.0)
-    assert instance.submit("aa", QUICK) == [IntakeOutcome.NOT_KEPT]
-    world.store.turned_away.clear()
+    assert instance.submit("aa", QUICK) == [IntakeOutcome.NOT_STORED]
+    world.store.refused_instances.clear()
     world.run(1.0)
     world.store.silent = True
     unsure = instance.submit("bb", QUICK)
@@ -234,16 +234,16 @@
 
 def test_a_counted_task_that_stands_still_starts_elsewhere_after_a_report() -> None:
     """A short job waited 2.5 s or more for a task that made no progress."""
-    world = small()
+    world = small_world()
     next(iter(world.runners.values())).hangs = True
     for number in range(4):
         world.instances["entry-0"].submit(f"a{number}", Step(1, 1000, 100, estimate_ms=600))
     assert settle(world, *(f"a{number}" for number in range(4))) < 2.9
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_jobs_fail_after_their_attempts_and_not_before() -> None:
-    world = small()
+    world = small_world()
     for one in world.runners.values():
         one.fails = True
     world.instances["entry-0"].submit("9a", Step(count=1, millicores=100), max_attempts=3)
@@ -253,7 +253,7 @@
 
 
 def test_a_leaving_leader_hands_over_without_waiting_for_silence() -> None:
-    world = small()
+    world = small_world()
     leader = world.leader()
     assert leader is not None
     left: list[bool] = []
@@ -266,19 +266,19 @@
 
 
 def test_a_log_that_forgot_its_history_is_read_anew() -> None:
-    world = small()
+    world = small_world()
     world.instances["entry-0"].submit("ab", QUICK)
     world.run(0.3)
-    world.store.jobs.kept_from = len(world.store.jobs.records) + 3
+    world.store.jobs.first_retained_offset = len(world.store.jobs.records) + 3
     world.instances["entry-1"].submit("ac", QUICK)
     world.run(0.2)
-    world.store.jobs.kept_from = len(world.store.jobs.records)
+    world.store.jobs.first_retained_offset = len(world.store.jobs.records)
     settle(world, "ab", "ac")
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_lasting_tasks_leave_a_leaving_runner_before_it_ends() -> None:
-    world = small()
+    world = small_world()
     for one in world.runners.values():
         one.work_s = 1000.0
     world.instances["entry-0"].submit(
@@ -290,12 +290,12 @@
     world.run(2.0)
     assert not runner.tasks
     assert sum(len(one.tasks) for one in world.runners.values()) == 8
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_lasting_tasks_that_fit_nowhere_keep_none_behind_them_waiting() -> None:
     """After three steps of an image could not be placed, a fourth that fitted was not tried."""
-    world = small(runners=2)
+    world = small_world(runners=2)
     for one in world.runners.values():
         one.work_s = 1000.0
     lasting = Step(count=1, millicores=7000, memory_mb=100, lasting=True, image="s")
@@ -310,7 +310,7 @@
 
 def test_leases_go_on_where_ends_wait_for_the_store() -> None:
     """A runner with an end that could not be stored was not polled, and its leases lapsed."""
-    world = small(runners=1)
+    world = small_world(runners=1)
     runner = next(iter(world.runners.values()))
     world.instances["entry-0"].submit("da", Step(count=2, millicores=1000, memory_mb=100))
     world.run(0.2)
@@ -325,7 +325,7 @@
 
 
 def test_a_lasting_task_that_ran_before_needs_no_reserve() -> None:
-    world = small(runners=1)
+    world = small_world(runners=1)
     runner = next(iter(world.runners.values()))
     runner.work_s = 1000.0
     world.instances["entry-0"].submit(
@@ -344,19 +344,19 @@
 
 
 def test_jobs_that_come_while_an_append_is_stuck_are_refused_unsent() -> None:
-    world = small()
+    world = small_world()
     instance = world.instances["entry-2"]
     world.store.silent = True
     unsure = instance.submit("fa", QUICK)
     world.run(0.65)
-    assert instance.submit("fb", QUICK) == [IntakeOutcome.NOT_KEPT]
+    assert instance.submit("fb", QUICK) == [IntakeOutcome.NOT_STORED]
     world.run(2.0)
     assert unsure == [IntakeOutcome.UNKNOWN]
 
 
 def test_a_task_that_ran_before_waits_behind_none_of_its_step() -> None:
     """It waited behind tasks that the reserve held back, and its job counted as lost."""
-    world = small(runners=1)
+    world = small_world(runners=1)
     runner = next(iter(world.runners.values()))
     runner.work_s = 1000.0
     world.instances["entry-0"].submit(
@@ -376,7 +376,7 @@
 
 
 def test_what_a_leader_learnt_of_pairs_outlives_it() -> None:
-    world = small()
+    world = small_world()
     leader = world.leader()
     assert leader is not None and leader.dispatcher.scheduler is not None
     for _ in range(60):
@@ -393,7 +393,7 @@
 
 def test_the_leader_hands_over_to_a_much_larger_instance() -> None:
     """On a large deployment a small instance led, was always busy, and starts came 1 s late."""
-    world = small()
+    world = small_world()
     world.add_instance("large", processors=4.0)
     world.add_instance("larger-by-little", processors=4.4)
     for number in range(6):
@@ -403,11 +403,11 @@
     first = world.leader()
     world.run(20.0)
     assert world.leader() is first
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_an_instance_that_is_handed_the_lead_but_dies_is_replaced() -> None:
-    world = small()
+    world = small_world()
     large = world.add_instance("large", processors=4.0)
     world.run_until(lambda: large.leadership.leads, 12.0)
     large.kill()
@@ -417,7 +417,7 @@
 
 def test_a_leader_that_reads_its_log_anew_hands_over_to_nobody_that_is_gone() -> None:
     """It read an offer of an instance that had led and died since, and resigned in its favour."""
-    world = small()
+    world = small_world()
     large = world.add_instance("large", processors=4.0)
     world.run_until(lambda: large.leadership.leads, 12.0)
     large.kill()
@@ -434,7 +434,7 @@
 
 def test_lasting_tasks_leave_a_runner_whose_entry_went_without_a_word() -> None:
     """Some runners leave unannounced; their tasks stayed on them until the runners ended."""
-    world = small()
+    world = small_world()
     for one in world.runners.values():
         one.work_s = 1000.0
     lasting = Step(count=8, millicores=1000, memory_mb=100, lasting=True)
@@ -445,11 +445,11 @@
     world.store.entries.put(runner.id, b"")
     world.run(1.5)
     assert not runner.tasks
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_an_entry_that_lapsed_with_the_store_has_two_seconds_to_come_back() -> None:
-    world = small()
+    world = small_world()
     for one in world.runners.values():
         one.work_s = 1000.0
     lasting = Step(count=8, millicores=1000, memory_mb=100, lasting=True)
@@ -466,18 +466,18 @@
     world.store.entries.put(runner.id, b"ready")
     world.run(3.0)
     assert runner.tasks
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_state_is_told_only_from_a_copy_that_has_caught_up() -> None:
     """A slow instance kept reading the same large part; one part must not count as up to date."""
-    world = small()
+    world = small_world()
     reader = world.instances["entry-1"]
-    world.store.turned_away = {"entry-1"}
+    world.store.refused_instances = {"entry-1"}
     for number in range(12):
         world.instances["entry-0"].submit(f"f{number}", QUICK)
     world.run(0.5)
-    world.store.turned_away = set()
+    world.store.refused_instances = set()
     world.run_until(lambda: reader.follower.contact)
     told: list[object] = []
     for number in range(12):
@@ -490,7 +490,7 @@
 def test_a_large_instance_claims_before_small_ones_after_any_death() -> None:
     """Small leaders of a large fleet were too busy to send heartbeats, one after the other."""
     for seed in range(5):
-        world = small(seed=seed)
+        world = small_world(seed=seed)
         for name in ("large", "spare"):
             world.add_instance(name, processors=4.0)
         world.run_until(partial(large_leads, world))
@@ -502,7 +502,7 @@
 
 
 def test_a_new_leader_asks_only_so_many_runners_at_once() -> None:
-    world = small(instances=2, runners=70)
+    world = small_world(instances=2, runners=70)
     leader = world.leader()
     assert leader is not None
     leader.kill()
--- a/tests/test_emptied_zones.py
+++ b/tests/test_emptied_zones.py
@@ -4,7 +4,7 @@
 
 from spoolcrank.ids import AvailabilityZone, JobId
 from spoolcrank.keyed_log import KeyedLog, KeyedRecord
-from spoolcrank.platform.documents import emptied_zones
+from spoolcrank.platform.documents import evacuated_zones
 from spoolcrank.workflow import JobPhase, Step
 from tests.fleet_world import World
 
@@ -30,7 +30,7 @@
 
 def _empty(world: World, *zones: AvailabilityZone) -> None:
     for instance in world.instances.values():
-        instance.dispatcher.empty_zones(frozenset(zones))
+        instance.dispatcher.evacuate_zones(frozenset(zones))
 
 
 def _submit(world: World, seconds: float) -> list[str]:
@@ -45,7 +45,7 @@
 
 def _starts_there(world: World) -> int:
     return sum(
-        len(runner.above) + len(runner.tasks)
+        len(runner.highest_run) + len(runner.tasks)
         for runner in world.runners.values()
         if runner.zone == "b"
     )
@@ -66,12 +66,14 @@
         world.run_until(lambda: world.leader() is not None)
     jobs = _submit(world, 3.0)
     world.run(6.0)
-    ended = {key for runner in world.runners.values() if runner.zone == "b" for key in runner.above}
+    ended = {
+        key for runner in world.runners.values() if runner.zone == "b" for key in runner.highest_run
+    }
     assert not any(key.job in jobs for key in ended)
     assert _starts_there(world) <= before
     index = next(iter(world.instances.values())).index
     assert all(index.phase(JobId(job)) is JobPhase.COMPLETED for job in jobs)
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_lasting_tasks_keep_running_and_starts_resume_when_the_evacuation_ends() -> None:
@@ -79,10 +81,10 @@
     world.lasting_jobs = {"aaaa"}
     next(iter(world.instances.values())).submit("aaaa", LASTING)
     world.run(2.0)
-    runs = {key: set(ids) for key, ids in world.on.items()}
+    runs = {key: set(ids) for key, ids in world.running_on.items()}
     _empty(world, ZONE)
     world.run(8.0)
-    assert {key: set(ids) for key, ids in world.on.items()} == runs
+    assert {key: set(ids) for key, ids in world.running_on.items()} == runs
     _empty(world)
     before = _starts_there(world)
     _submit(world, 3.0)
@@ -92,7 +94,7 @@
 def test_an_evacuation_is_read_from_its_own_key_and_ends_with_it() -> None:
     copy = KeyedLog()
     copy.load_page((KeyedRecord("config", b"{}", 0), KeyedRecord("evacuate/b", b"{}", 1)))
-    copy.loaded_to(2)
-    assert emptied_zones(copy) == {ZONE}
+    copy.finish_load(2)
+    assert evacuated_zones(copy) == {ZONE}
     copy.extend((KeyedRecord("evacuate/b", b"", 2),), 3, 1.0)
-    assert emptied_zones(copy) == frozenset()
+    assert evacuated_zones(copy) == frozenset()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -4,7 +4,7 @@
 from spoolcrank.orders import EndedRow, EndKind
 from spoolcrank.runs import RunStage
 from spoolcrank.workflow import JobPhase, Step, TaskKey
-from tests.fleet_world import World, small
+from tests.fleet_world import World, small_world
 
 
 def _completed(world: World, job: str) -> bool:
@@ -18,8 +18,8 @@
     A runner lists its unrecorded ends in parts, and a run that was in neither list counted as never
     started there. Without the check for a complete list, this test starts finished tasks again.
     """
-    world = small(runners=2)
-    world.ends_at_once = 3
+    world = small_world(runners=2)
+    world.max_ends_per_answer = 3
     world.instances["entry-0"].submit("a1", Step(count=16, millicores=1000, memory_mb=100))
     world.run_until(lambda: len(world.starts) == 16)
     leader = world.leader()
@@ -27,7 +27,7 @@
     leader.kill()
     world.run_until(lambda: _completed(world, "a1"), 20.0)
     world.run(2.0)
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_a_start_refused_as_old_waits_for_the_list_of_ends() -> None:
@@ -37,29 +37,29 @@
     the next poll, was taken for an unknown one and acknowledged. The task then started again after
     it was done.
     """
-    world = small(runners=1)
+    world = small_world(runners=1)
     runner = next(iter(world.runners.values()))
     key = TaskKey(JobId("a1"), 0, 0, 0)
     leader = world.leader()
     assert leader is not None and leader.dispatcher.scheduler is not None
-    runner_state = leader.dispatcher.scheduler.runners[runner.life]
+    runner_state = leader.dispatcher.scheduler.runners[runner.incarnation_id]
     world.instances["entry-0"].submit("a1", Step(count=1, millicores=1000, memory_mb=100))
     while key not in runner_state.runs or runner_state.runs[key].stage is not RunStage.ORDERED:
         world.run(0.0002)
     # An earlier call has carried out the run, and it has ended.
     runner.ends += 1
-    runner.above[key] = 1
+    runner.highest_run[key] = 1
     runner.ended.append(EndedRow(runner.ends, key, 1, EndKind.DONE, ""))
     runner.ended_at[runner.ends] = world.now
     world.run_until(lambda: _completed(world, "a1"), 20.0)
     world.run(2.0)
     assert world.starts[key] == []
-    assert world.broken == []
+    assert world.violations == []
 
 
 def test_the_log_line_for_an_unknown_end_has_the_state_of_its_task() -> None:
     """Guards against log lines that do not distinguish repeated ends from lost ones."""
-    world = small()
+    world = small_world()
     runner = next(iter(world.runners.values()))
     steps = [Step(count=2, millicores=1000, memory_mb=100, after=after) for after in ((), (0,))]
     world.instances["entry-0"].submit("a1", *steps)
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -112,7 +112,7 @@
             run.fleet.restart_entry(name)
             wait_for(lambda name=name: run.fleet.is_ready(name), 30, f"{name} not ready")
         report = run.stop_load()
-        assert {request.outcome for request in report.seen} == {"ok"}
+        assert {request.outcome for request in report.request_results} == {"ok"}
         run.wait_ended("entry-b1", 60)
         assert run.breaches() == []
 
@@ -126,7 +126,7 @@
             wait_for(lambda name=name: not run.fleet.is_ready(name), 10, "still ready")
             report = run.stop_load()
             run._stop.clear()
-            assert {request.outcome for request in report.seen} == {"ok"}
+            assert {request.outcome for request in report.request_results} == {"ok"}
             assert run.entry(name).popen.wait(30) == 0
             run.fleet.restart_entry(name)
             wait_for(lambda name=name: run.fleet.is_ready(name), 30, f"{name} not ready")
@@ -146,7 +146,7 @@
         run.proxy.heal()
         report = run.stop_load()
         assert run.breaches() == []
-        assert len(report.answered) > 0.6 * len(report.seen)
+        assert len(report.answered) > 0.6 * len(report.request_results)
 
 
 def test_idempotency_key_runs_once_on_all_instances_and_after_its_holder_dies() -> None:
@@ -165,7 +165,9 @@
         time.sleep(1.0)
         run.entry("entry-b1").kill()
         run.stop_load()
-        keys = [request.key for request in run.report.seen if request.outcome != "ok"][:5]
+        keys = [request.key for request in run.report.request_results if request.outcome != "ok"][
+            :5
+        ]
         for key in keys:
             headers = {"Idempotency-Key": key, "Spoolcrank-Deadline-Ms": "500"}
             call("POST", f"{urls[3]}/services/quotes/", b"again", headers)
@@ -180,5 +182,5 @@
             assert run.entry(name).stop() == 0
             report = run.stop_load()
             run._stop.clear()
-            outcomes = {request.outcome for request in report.seen}
+            outcomes = {request.outcome for request in report.request_results}
             assert outcomes <= {"ok", "leaving", "ConnectionRefusedError"}, outcomes
