--- a/spoolcrank/backlog.py
+++ b/spoolcrank/backlog.py
@@ -43,7 +43,7 @@
             filler_obstacle(backlog.step, runner, state.contention, now)
             for runner in pools.get(backlog.service, [])
         )
-        serving = sorted(
+        serving_images = sorted(
             {serving_image for runner in state.runners.values() for serving_image in runner.serving}
         )
         state.log_event(
@@ -61,7 +61,7 @@
                         for part in state.contention.weight_estimate(serving_image, image)
                     ),
                 ]
-                for serving_image in serving
+                for serving_image in serving_images
             ],
         )
 
--- a/spoolcrank/batching.py
+++ b/spoolcrank/batching.py
@@ -42,7 +42,7 @@
 
 
 def on_batch_stored(state: Scheduler, batch: Batch, now: float) -> None:
-    """Apply what waited for a batch to be stored."""
+    """Carry out the actions that waited for a batch to be stored."""
     for bound in batch.preassigned:
         _confirm_preassignment(state, bound)
     for runner_id, seen in batch.seen.items():
@@ -77,7 +77,7 @@
         return
     why = _reason_not_to_start(runner, now)
     if why:
-        # This arose while the start waited. It was not ordered, so the task may go elsewhere.
+        # The reason arose while the start waited. No order was sent: the task may go elsewhere.
         state.release(bound.task, runner, why, now)
         return
     run.stage = RunStage.ORDERED
@@ -95,14 +95,14 @@
 
 
 def store_learned(state: Scheduler, now: float) -> None:
-    """Store the learned interference and times for the next leader, if that is due."""
+    """Store the learned weights and task times for the next leader, if that is due."""
     if now - state.learned_state_stored_at < LEARNED_STORE_INTERVAL_S:
         return
     state.learned_state_stored_at = now
-    learned_state = state.contention.learned_state()
+    images = state.contention.learned_state()
     times = state.times.learned_state()
-    if learned_state or times:
-        record = KeyedRecord(LEARNED_KEY, encode_learned_state(LearnedState(learned_state, times)))
+    if images or times:
+        record = KeyedRecord(LEARNED_KEY, encode_learned_state(LearnedState(images, times)))
         state.pending_writes.other_records.append(record)
 
 
--- a/spoolcrank/binding.py
+++ b/spoolcrank/binding.py
@@ -13,25 +13,25 @@
 
 
 def bind(
-    state: Scheduler, job: JobState, key: TaskKey, number: int, runner: RunnerState, now: float
+    state: Scheduler, job: JobState, key: TaskKey, run_number: int, runner: RunnerState, now: float
 ) -> None:
     """Bind a waiting task to a runner; its start follows once the binding is stored."""
     step = job.rounds[key.round].steps[key.step]
     task = step.tasks[key.number]
     step.waiting.pop(key.number, None)
-    destination = state.runners.get(task.wanted)
+    destination = state.runners.get(task.move_destination)
     if destination is not None:
         destination.reservations.pop(key, None)
-    task.wanted = NO_RUNNER
+    task.move_destination = NO_RUNNER
     task.isolation_wanted_since = None
     preassigned_here = task.preassigned_stored and task.preassigned == runner.id
     task.preassigned, task.preassigned_stored = NO_RUNNER, False
     task.phase = Phase.BOUND
-    task.run = number
+    task.run = run_number
     task.runner = runner.id
     job.started_at = now
     job.begin()
-    run = state.new_run(job, key, number, RunStage.RECORDED, now)
+    run = state.new_run(job, key, run_number, RunStage.RECORDED, now)
     run.resumed = bool(task.saved)
     runner.add(key, run)
     state.pending_writes.add_changed_job(job.id)
@@ -40,13 +40,13 @@
         run.stage = RunStage.ORDERED
         state.order_start(key, runner, run, now)
     elif preassigned_here:
-        state.starts.waiting.append(BoundRun(runner.id, key, number))
+        state.starts.waiting.append(BoundRun(runner.id, key, run_number))
     else:
-        state.pending_writes.starts.append(BoundRun(runner.id, key, number))
+        state.pending_writes.starts.append(BoundRun(runner.id, key, run_number))
     state.log_event(
         "task-bound",
         task=key,
-        run=number,
+        run=run_number,
         runner=runner.id,
         preassigned=preassigned_here,
         idle_millicores=runner.idle_millicores,
@@ -70,11 +70,11 @@
 ) -> None:
     """Stop a task on one runner so that it starts on another, where capacity is reserved for it."""
     task = state.jobs[key.job].task(key)
-    task.wanted = destination
-    task.wanted_until = now + MOVE_TIMEOUT_S
+    task.move_destination = destination
+    task.move_until = now + MOVE_TIMEOUT_S
     source_runner, target_runner = state.runners.get(source), state.runners.get(destination)
     run = source_runner.runs.get(key) if source_runner is not None else None
     if run is not None and target_runner is not None:
-        target_runner.reservations[key] = Reservation(run.demand, task.wanted_until)
+        target_runner.reservations[key] = Reservation(run.demand, task.move_until)
     state.log_event("task-moves", task=key, runner=source, to=destination)
     state.stop_run(key, source, now)
--- a/spoolcrank/contention.py
+++ b/spoolcrank/contention.py
@@ -92,12 +92,12 @@
     variance: float = LOAD_VARIANCE
     at: float | None = None
 
-    def predict(self, usual: float, now: float) -> tuple[float, float]:
-        """Return the level and variance expected at `now`, as the level returns to `usual`."""
+    def predict(self, usual_level: float, now: float) -> tuple[float, float]:
+        """Return the level and variance expected at `now`; the level decays to the usual one."""
         if self.at is None:
-            return usual, LOAD_VARIANCE
+            return usual_level, LOAD_VARIANCE
         decay = math.exp(-max(0.0, now - self.at) / LOAD_DECAY_S)
-        level = usual + (self.level - usual) * decay
+        level = usual_level + (self.level - usual_level) * decay
         return level, LOAD_VARIANCE + (self.variance - LOAD_VARIANCE) * decay * decay
 
 
@@ -293,8 +293,8 @@
             fillers: share of the runner's processors that each filler image used.
             now: monotonic seconds.
         """
-        usual = self.base(serving)
-        level, variance = load.predict(usual, now)
+        usual_level = self.base(serving)
+        level, variance = load.predict(usual_level, now)
         weights = self._weights.setdefault(serving, _Weights())
         known_shares = [
             (weights.position(image), share)
@@ -308,4 +308,4 @@
         load.level = level + gain * residual
         load.variance = (1.0 - gain) * variance
         load.at = now
-        self._bases[serving] = usual + BASE_GAIN * (load.level - usual)
+        self._bases[serving] = usual_level + BASE_GAIN * (load.level - usual_level)
--- a/spoolcrank/debounce.py
+++ b/spoolcrank/debounce.py
@@ -1,8 +1,8 @@
 """Debounce events, so that one decision covers all of them.
 
-This handles floods of small events, such as the ends of tasks over hundreds of runners. Each event
-may allow something to start, and a decision costs nearly the same for one event as for many. One
-decision per event would take processor time from reading answers and delay all later events.
+Hundreds of runners report many small events, such as the ends of tasks. Each event may allow
+something to start, and a decision costs nearly the same for one event as for many. One decision per
+event would take processor time from reading answers and delay all later events.
 """
 
 from collections.abc import Callable
@@ -39,13 +39,13 @@
         self._clock = clock
         self._decide = decide
         self._scheduled = False
-        self._took_s = 0.0
+        self._last_decision_s = 0.0
 
     def wake(self) -> None:
         """Schedule a decision, unless one is scheduled already."""
         if not self._scheduled:
             self._scheduled = True
-            delay_s = min(MAX_DEBOUNCE_S, DEBOUNCE_FACTOR * self._took_s)
+            delay_s = min(MAX_DEBOUNCE_S, DEBOUNCE_FACTOR * self._last_decision_s)
             self._timers.after(max(MIN_DEBOUNCE_S, delay_s), self.decide)
 
     def decide(self) -> None:
@@ -53,4 +53,4 @@
         self._scheduled = False
         began = self._clock()
         self._decide()
-        self._took_s = self._clock() - began
+        self._last_decision_s = self._clock() - began
--- a/spoolcrank/exchanges.py
+++ b/spoolcrank/exchanges.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from spoolcrank.ids import ServiceName
-from spoolcrank.packing import open_cores
+from spoolcrank.packing import cores_left_to_fillers
 from spoolcrank.runner_state import SERVING_USE_SHARE, RunnerState
 from spoolcrank.runs import Run, RunStage
 from spoolcrank.scheduler import Scheduler
@@ -167,7 +167,9 @@
         free = _add(runner.entry.room, used, -1)
         for reservation in runner.reservations.values():
             free = _add(free, reservation.demand, -1)
-        planned = _PlannedRunner(runner, free, open_cores(runner), Counter(runner.serving))
+        planned = _PlannedRunner(
+            runner, free, cores_left_to_fillers(runner), Counter(runner.serving)
+        )
         for key, run in runner.runs.items():
             if not run.serves:
                 continue
@@ -267,13 +269,13 @@
         first, second = exchange.first, exchange.second
         best: tuple[_Task, _Task | None] | None = None
         smallest_difference = 0
-        back: list[_Task | None] = [None]
+        incoming_tasks: list[_Task | None] = [None]
         if exchange.incoming:
-            back = list(second.tasks[exchange.incoming])
+            incoming_tasks = list(second.tasks[exchange.incoming])
         for outgoing in first.tasks[exchange.outgoing]:
             if not self._allowed(outgoing, second):
                 continue
-            for incoming in back:
+            for incoming in incoming_tasks:
                 if incoming is not None and not self._allowed(incoming, first):
                     continue
                 if not _fits_swapped(first, second, outgoing, incoming):
@@ -348,10 +350,10 @@
 def _fits_swapped(
     first: _PlannedRunner, second: _PlannedRunner, outgoing: _Task, incoming: _Task | None
 ) -> bool:
-    back = incoming.run.demand if incoming is not None else Demand()
-    there = _add(_add(second.free, back, 1), outgoing.run.demand, -1)
-    here = _add(_add(first.free, outgoing.run.demand, 1), back, -1)
-    return min(there) >= 0 and min(here) >= 0
+    returning_demand = incoming.run.demand if incoming is not None else Demand()
+    second_free = _add(_add(second.free, returning_demand, 1), outgoing.run.demand, -1)
+    first_free = _add(_add(first.free, outgoing.run.demand, 1), returning_demand, -1)
+    return min(second_free) >= 0 and min(first_free) >= 0
 
 
 def is_running(state: Scheduler, key: TaskKey) -> bool:
--- a/spoolcrank/filler_pace.py
+++ b/spoolcrank/filler_pace.py
@@ -13,13 +13,13 @@
 AIM_RATIO = 0.72
 """Ratio of tail latency to target that the paces are set for."""
 
-MIN_PACE = 40
+MIN_PACE_PERCENT = 40
 """Lowest pace of a slowed filler, percent, except where a tail latency stays over its target. A
 slower filler occupies its runner and memory and delays all later steps of its job. At a pace of 10
-the job still missed its objective; over 6 paired days, fillers earned 0.086 less of the value they
+its job still missed its objective; over 6 paired days, fillers earned 0.086 less of the value they
 could earn, and serving jobs earned as much as at 40."""
 
-MAX_SLOW_PACE = 50
+MAX_SLOW_PACE_PERCENT = 50
 """Pace up to which a filler counts as slow, percent."""
 
 
@@ -35,7 +35,7 @@
 ) -> None:
     """Order a new pace, in percent, for a filler, and update the time since when it is slow."""
     runner.set_pace(run, pace, now)
-    if pace > MAX_SLOW_PACE:
+    if pace > MAX_SLOW_PACE_PERCENT:
         run.slow_since = None
     elif run.slow_since is None:
         run.slow_since = now
@@ -55,6 +55,6 @@
     if total_effect <= allowed:
         return
     for key, run, effect in effects:
-        pace = max(MIN_PACE, int(run.pace * allowed / total_effect))
+        pace = max(MIN_PACE_PERCENT, int(run.pace * allowed / total_effect))
         if effect > NEGLIGIBLE_EFFECT / 2 and pace < run.pace:
             order_pace(state, runner, key, run, pace, now)
--- a/spoolcrank/gangs.py
+++ b/spoolcrank/gangs.py
@@ -15,7 +15,7 @@
     state: Scheduler,
     job: JobState,
     round_number: int,
-    number: int,
+    step_number: int,
     step: StepState,
     runners: list[RunnerState],
     now: float,
@@ -26,14 +26,14 @@
     racks = [""]
     if step.spec.same_rack:
         racks = sorted({label for runner in runners for label in runner.entry.labels}) + racks
-    run = max(task.run for task in step.tasks) + 1
+    run_number = max(task.run for task in step.tasks) + 1
     if step.tasks[0].not_before > now:
         return False
     pools = [runners]
     if independent_crashes(step.tasks[0].crashes):
         pools.insert(0, without_suspects(runners))
     return any(
-        _place_members(state, job, round_number, number, step, pool, rack, run, now)
+        _place_members(state, job, round_number, step_number, step, pool, rack, run_number, now)
         for pool in pools
         for rack in racks
     )
@@ -43,17 +43,17 @@
     state: Scheduler,
     job: JobState,
     round_number: int,
-    number: int,
+    step_number: int,
     step: StepState,
     runners: list[RunnerState],
     rack: str,
-    run: int,
+    run_number: int,
     now: float,
 ) -> bool:
     tasks_per_runner: dict[RunnerId, int] = {}
     chosen: list[tuple[RunnerState, TaskKey]] = []
     for index in range(len(step.tasks)):
-        key = TaskKey(job.id, round_number, number, index)
+        key = TaskKey(job.id, round_number, step_number, index)
         runner = choose(
             PlacementRequest(step.spec, tasks_per_runner, NO_RUNNER, rack),
             runners,
@@ -63,7 +63,8 @@
         if runner is None:
             break
         tasks_per_runner[runner.id] = tasks_per_runner.get(runner.id, 0) + 1
-        runner.add(key, state.new_run(job, key, run, RunStage.RECORDED, now))
+        # Count this member against the capacity while choosing runners for the others.
+        runner.add(key, state.new_run(job, key, run_number, RunStage.RECORDED, now))
         chosen.append((runner, key))
     for runner, key in chosen:
         runner.remove(key)
@@ -72,5 +73,5 @@
     saved = next((task.saved for task in step.tasks if task.saved), "")
     for runner, key in chosen:
         job.task(key).saved = saved
-        bind(state, job, key, run, runner, now)
+        bind(state, job, key, run_number, runner, now)
     return True
--- a/spoolcrank/isolation.py
+++ b/spoolcrank/isolation.py
@@ -24,18 +24,19 @@
 """Longest time for which a suspect waits for an exclusive runner, seconds; then it starts beside
 other tasks. A job with nothing running for 3 s counts as lost."""
 
-LONG_WAIT_S = 0.5
+LATE_SUSPECT_WAIT_S = 0.5
 """Wait of a suspect after which more runners may be exclusive at the same time, seconds."""
 
 RUNNERS_PER_LATE_SUSPECT = 2
-"""Replaces RUNNERS_PER_SUSPECT for suspects that have waited LONG_WAIT_S."""
+"""Number of runners for each exclusive one, used instead of RUNNERS_PER_SUSPECT for suspects that
+have waited LATE_SUSPECT_WAIT_S."""
 
 ISOLATION_S = 3.0
 """Time for which a suspect keeps its exclusive runner, seconds. A longer time would take too much
 capacity from other tasks, as many suspects are harmless."""
 
 RUNNERS_PER_SUSPECT = 8
-"""Number of runners per exclusive one: an isolated suspect may crash the runner that it has."""
+"""Number of runners for each exclusive one, which limits how many runners suspects may crash."""
 
 
 def without_suspects(runners: Sequence[RunnerState]) -> list[RunnerState]:
@@ -88,9 +89,11 @@
     return next((runner for runner in state.runners.values() if runner.isolated_for == key), None)
 
 
-def _all_in_use(state: Scheduler, runners: Sequence[RunnerState], waited_s: float) -> bool:
+def _exclusive_limit_reached(
+    state: Scheduler, runners: Sequence[RunnerState], waited_s: float
+) -> bool:
     runners_per_suspect = (
-        RUNNERS_PER_SUSPECT if waited_s < LONG_WAIT_S else RUNNERS_PER_LATE_SUSPECT
+        RUNNERS_PER_SUSPECT if waited_s < LATE_SUSPECT_WAIT_S else RUNNERS_PER_LATE_SUSPECT
     )
     in_use = sum(1 for runner in state.runners.values() if runner.isolated_for is not None)
     return in_use >= max(1, (len(runners) + in_use) // runners_per_suspect)
@@ -105,7 +108,7 @@
     now: float,
 ) -> RunnerState | None:
     """Return the runner whose loss is cheapest among those that can take the task now."""
-    if _all_in_use(state, runners, waited_s):
+    if _exclusive_limit_reached(state, runners, waited_s):
         return None
     crash_counts = Counter(evidence.address for evidence in task.crashes)
     candidates = sorted(
--- a/spoolcrank/job_state.py
+++ b/spoolcrank/job_state.py
@@ -27,22 +27,23 @@
     """State of one task: phase, newest run, checkpoint, failures and crashes of runners.
 
     Attributes:
-        phase: as stored.
+        phase: whether it waits, is bound or is done; stored in the progress.
         run: number of the newest run, 0 before the first.
         runner: the runner it is bound to; empty unless bound.
         saved: newest checkpoint.
         failures: number of failed runs.
         crashes: evidence of runners that crashed during its newest runs.
-        abandoned_run: newest run that was given up without its end; its failure still counts.
+        abandoned_run: newest run that was released before its end was known; its failure still
+            counts.
         refused_by: runner of the last failure; a retry prefers another.
         abnormal_ends: number of runs that were refused, hung or failed, in this leader's term.
         abnormal_end_runners: runners to which those ends were attributed, in this leader's term.
         not_before: earliest time of the next start, monotonic seconds.
         isolation_wanted_since: time since when it waits for an exclusive runner, or None.
-        wanted: destination of a move.
-        wanted_until: time until which the move is tried, monotonic seconds.
-        preassigned: runner that the records give the next run to.
-        preassigned_stored: whether the record of `preassigned` is stored.
+        move_destination: runner to which it moves; empty if it does not move.
+        move_until: time until which it waits for free capacity there, monotonic seconds.
+        preassigned: runner to which the records assign its next run.
+        preassigned_stored: whether the store has confirmed the record of `preassigned`.
     """
 
     phase: Phase = Phase.WAITING
@@ -57,8 +58,8 @@
     abnormal_end_runners: tuple[RunnerId, ...] = ()
     not_before: float = 0.0
     isolation_wanted_since: float | None = None
-    wanted: RunnerId = NO_RUNNER
-    wanted_until: float = 0.0
+    move_destination: RunnerId = NO_RUNNER
+    move_until: float = 0.0
     preassigned: RunnerId = NO_RUNNER
     preassigned_stored: bool = False
 
@@ -148,13 +149,14 @@
     """State of one job of the leader.
 
     Attributes:
-        id: chosen by the submitter.
+        id: id chosen by the submitter.
         order: offset of its record in the store; jobs submitted earlier have lower ones.
         rounds: rounds that are due and not done, by number.
         rounds_done: number of rounds, from the first on, that are done and removed.
         begun: whether any task was ever bound.
         accepted_at: time of acceptance, monotonic seconds of this process.
-        started_at: time when this leader last bound a task of it, or since when it could.
+        started_at: time when this leader last bound one of its tasks; before the first, when the
+            leader added the job.
         objective_s: time from `accepted_at` within which it should finish.
     """
 
--- a/spoolcrank/mechanisms.py
+++ b/spoolcrank/mechanisms.py
@@ -14,7 +14,20 @@
 
 
 class Mechanism(Enum):
-    """A mechanism that can be switched off, by the name used in SPOOLCRANK_WITHOUT."""
+    """A mechanism that can be switched off, by the name used in SPOOLCRANK_WITHOUT.
+
+    Attributes:
+        REGROUPING: move serving tasks so that runners tolerate more fillers.
+        MOVING: stop slow fillers that can resume elsewhere without doing harm.
+        YIELDING: slow fillers down before a serving task starts beside them.
+        FREEING: restore full pace for fillers that are likely harmless.
+        CLAIMS: leave the next place of a kind to the waiting job of better prospect.
+        RESERVE: reserve capacity for short tasks.
+        LASTING_BATCHES: let new lasting jobs wait so that they are placed together, by image.
+        TIMES: learn the run times of tasks.
+        HANGS: detect hung tasks other than fillers and gang members sooner than those.
+        PREASSIGNING: preassign waiting tasks so that they start during a store outage.
+    """
 
     REGROUPING = "regrouping"
     MOVING = "moving"
--- a/spoolcrank/objective.py
+++ b/spoolcrank/objective.py
@@ -27,7 +27,14 @@
 
 
 class Prospect(IntEnum):
-    """Whether a job can still meet its objective, in the order of work."""
+    """Whether a job can still meet its objective; jobs of a lower value are placed first.
+
+    Attributes:
+        BEGUN: it has begun and can finish within its objective.
+        FRESH: it has not begun and can finish within its objective.
+        LATE: it can finish within LATE_FACTOR times its objective.
+        HOPELESS: it can only finish later, without value.
+    """
 
     BEGUN = 0
     FRESH = 1
@@ -85,13 +92,13 @@
     """Return the position of a waiting job among those of its priority; lower comes first.
 
     Jobs that have begun are ordered by deadline, as the work done for a job that ends too late is
-    lost. Of the jobs not begun, the newest come first: they have all of their time left and surely
-    finish within it, whereas the oldest might not. Ordering these by deadline as well earned 0.014
-    less of the total value in 6 paired days.
+    lost. Of the jobs not begun, the newest come first: they have all of their time left and almost
+    certainly finish within it, whereas the oldest might not. Ordering these by deadline as well
+    earned 0.014 less of the total value in 6 paired days.
     """
-    outlook = prospect(job, times, now)
-    if outlook is Prospect.BEGUN:
-        return (outlook, job.accepted_at + job.objective_s)
-    if outlook is Prospect.FRESH:
-        return (outlook, -job.accepted_at)
-    return (outlook, job.accepted_at)
+    job_prospect = prospect(job, times, now)
+    if job_prospect is Prospect.BEGUN:
+        return (job_prospect, job.accepted_at + job.objective_s)
+    if job_prospect is Prospect.FRESH:
+        return (job_prospect, -job.accepted_at)
+    return (job_prospect, job.accepted_at)
--- a/spoolcrank/pacing.py
+++ b/spoolcrank/pacing.py
@@ -2,7 +2,7 @@
 
 import math
 
-from spoolcrank.filler_pace import AIM_RATIO, MIN_PACE, fillers, order_pace
+from spoolcrank.filler_pace import AIM_RATIO, MIN_PACE_PERCENT, fillers, order_pace
 from spoolcrank.mechanisms import Mechanism
 from spoolcrank.orders import Report
 from spoolcrank.packing import HARMLESS_LIKELIHOOD, NEGLIGIBLE_EFFECT
@@ -25,7 +25,7 @@
 """Minimum time between two changes of one filler's pace, seconds. The effect of a change shows in
 the report after next."""
 
-MAX_PACE_INCREASE = 40
+MAX_PACE_INCREASE_PERCENT = 40
 """Largest increase of a pace in one step, percentage points."""
 
 HALT_AFTER_S = 1.3
@@ -59,8 +59,8 @@
 def filler_use(runner: RunnerState, report: Report, now: float) -> dict[str, float]:
     """Return the shares of a runner's processors that fillers used during a report, by image.
 
-    Fillers that ended within that time are no longer listed as running, but they still affected
-    the serving tasks.
+    A report covers REPORT_WINDOW_S. Fillers that ended within that time are no longer listed as
+    running, but they still affected the serving tasks.
     """
     shares: dict[str, float] = {}
     for row in report.running:
@@ -79,7 +79,7 @@
 
 def set_paces(state: Scheduler, runner: RunnerState, now: float) -> None:
     """Adjust the pace of the fillers on a runner to the tail latencies of its serving tasks."""
-    slowest = _highest_latency_run(runner)
+    slowest = _run_with_highest_ratio(runner)
     if slowest is None:
         _restore_full_pace(state, runner, now)
         return
@@ -97,7 +97,7 @@
         _move_slow_fillers(state, runner, now)
 
 
-def _highest_latency_run(runner: RunnerState) -> Run | None:
+def _run_with_highest_ratio(runner: RunnerState) -> Run | None:
     serving = [run for run in runner.runs.values() if run.serves and run.tail_ms > 0]
     return max(serving, key=lambda run: run.tail_ms / run.target_ms, default=None)
 
@@ -118,7 +118,7 @@
     )
 
 
-def _surely_harmless(state: Scheduler, runner: RunnerState, run: Run) -> bool:
+def _likely_harmless(state: Scheduler, runner: RunnerState, run: Run) -> bool:
     harmless = state.contention.harmless
     return all(harmless(image, run.image) >= HARMLESS_LIKELIHOOD for image in runner.serving)
 
@@ -131,7 +131,7 @@
     """
     for key, run in list(fillers(runner)):
         if run.pace < 100 and now - run.paced_at >= MIN_PACE_INTERVAL_S:
-            if _surely_harmless(state, runner, run):
+            if _likely_harmless(state, runner, run):
                 order_pace(state, runner, key, run, 100, now)
 
 
@@ -151,16 +151,16 @@
 ) -> None:
     running = list(fillers(runner))
     effects = [_effect(state, runner, slowest, run) for _, run in running]
-    slowing = [
+    to_slow = [
         pair for pair, effect in zip(running, effects, strict=True) if effect > NEGLIGIBLE_EFFECT
     ]
-    if not slowing and ratio >= 1.0:
-        slowing = running
+    if not to_slow and ratio >= 1.0:
+        to_slow = running
     required_reduction = math.log(ratio / AIM_RATIO)
     total_effect = max(sum(effects), NEGLIGIBLE_EFFECT)
     factor = max(0.0, 1.0 - required_reduction / total_effect)
-    for key, run in slowing:
-        pace = max(MIN_PACE, int(run.pace * factor))
+    for key, run in to_slow:
+        pace = max(MIN_PACE_PERCENT, int(run.pace * factor))
         if pace < run.pace and now - run.paced_at >= MIN_PACE_INTERVAL_S:
             order_pace(state, runner, key, run, pace, now)
 
@@ -168,8 +168,8 @@
 def _expected_level(state: Scheduler, runner: RunnerState, now: float) -> float:
     """Return the highest expected logarithm of tail latency over target at the current paces.
 
-    A report may be older than the paces, and a serving task that has just started has few
-    users.
+    The newest report may be older than the paces, and it shows too low a latency for a serving task
+    that has just started and still has few users.
     """
     shares = runner.filler_shares(now)
     effects = {image: state.contention.effect(image, shares.items()) for image in runner.serving}
@@ -190,9 +190,9 @@
         weight = state.contention.weight(slowest.image, run.image)
         per_percent = weight * runner.share(run.wanted_millicores) / 100.0
         increase = (
-            MAX_PACE_INCREASE
+            MAX_PACE_INCREASE_PERCENT
             if per_percent <= 0
-            else min(MAX_PACE_INCREASE, int(allowed / per_percent))
+            else min(MAX_PACE_INCREASE_PERCENT, int(allowed / per_percent))
         )
         if increase > 0:
             order_pace(state, runner, key, run, min(100, run.pace + increase), now)
@@ -200,6 +200,7 @@
 
 
 def _move_slow_fillers(state: Scheduler, runner: RunnerState, now: float) -> None:
+    """Stop fillers that have been slow too long and could resume elsewhere without doing harm."""
     for key, run in list(fillers(runner)):
         if run.slow_since is None or now - run.slow_since < MOVE_AFTER_S or not run.checkpoints:
             continue
--- a/spoolcrank/packing.py
+++ b/spoolcrank/packing.py
@@ -27,10 +27,10 @@
 
 MAX_TAIL_SHARE = 0.5
 """Largest share of a serving task's latency target to which fillers may raise its expected tail
-latency. Alone, the tail is at about 0.38 of the target, and one report in ten is over 0.62 (24,000
-reports of one deployment). A second over the target loses four times what the task earns in a
-second, as much as some 17 core-seconds of fillers earn. At 0.6, serving jobs earned 0.047 less of
-their full value and fillers as much as at 0.5 (6 paired days)."""
+latency. Without fillers, the latency is about 0.38 of the target, and one report in ten is over
+0.62 (24,000 reports of one deployment). A second over the target loses four times what the task
+earns in a second, as much as some 17 core-seconds of fillers earn. At 0.6, serving jobs earned
+0.047 less of their full value and fillers as much as at 0.5 (6 paired days)."""
 
 MAX_LOG_TAIL_SHARE = math.log(MAX_TAIL_SHARE)
 
@@ -38,30 +38,37 @@
 """Delay until a filler placed now shows in the reported latency, seconds: storing its record,
 starting it, and half a report interval."""
 
-FILLER_ROOM_TTL_S = 0.25
-"""Time for which the computed filler room of a runner stays valid, seconds; reports come every
+FILLER_HEADROOM_TTL_S = 0.25
+"""Time for which the computed filler headroom of a runner stays valid, seconds; reports come every
 half second."""
 
 HARMLESS_LIKELIHOOD = 0.85
 """Likelihood from which a filler counts as harmless to a serving image: it may then start beside
 that image under high load and is not slowed there. Without this rule a third of the processors that
 harmless fillers could use stood idle under overload. With it fillers earned 0.08 more of their full
-value (6 paired days, in a variant that also let them run beside a tail over its target)."""
+value (6 paired days, in a variant that also let them run beside a serving task over its target)."""
 
 NEGLIGIBLE_EFFECT = 0.06
-"""Largest increase of the logarithm of a tail latency for which a filler is not blamed when that
-tail exceeds its target."""
+"""Largest increase of the logarithm of a tail latency that counts as none: a filler with no larger
+effect is not blamed when that latency exceeds its target."""
 
 
 NO_SERVICE = ServiceName("")
 
 
 class Obstacle(Enum):
-    """Reason why a runner cannot take one more filler."""
+    """Reason why a runner cannot take one more filler.
 
-    ROOM = "room"
-    IDLE = "processors"
-    OVER = "over-target"
+    Attributes:
+        CAPACITY: the filler's demand exceeds the free capacity.
+        PROCESSORS: too few processors are idle.
+        OVER_TARGET: a serving task exceeds its latency target.
+        HARM: the filler would slow a serving task too much.
+    """
+
+    CAPACITY = "room"
+    PROCESSORS = "processors"
+    OVER_TARGET = "over-target"
     HARM = "harm"
 
 
@@ -121,8 +128,8 @@
     return _score(request, runner, contention, now)
 
 
-def could_ever_hold(step: Step, runner: RunnerState) -> bool:
-    """Tell whether an empty runner could hold one task of the step."""
+def fits_when_empty(step: Step, runner: RunnerState) -> bool:
+    """Return whether an empty runner has the capacity and the label for one task of the step."""
     capacity, demand = runner.entry.room, step.demand
     return (
         demand.millicores <= capacity.millicores
@@ -161,13 +168,13 @@
 ) -> tuple[float, ...]:
     step = request.step
     near_data = 1.0 if not step.data_rack or step.data_rack in runner.entry.labels else 0.0
-    fresh = 0.0 if runner.id == request.avoid else 1.0
+    not_avoided = 0.0 if runner.id == request.avoid else 1.0
     if step.fills:
-        return _score_filler(step, runner, contention, now, (fresh, near_data))
+        return _score_filler(step, runner, contention, now, (not_avoided, near_data))
     if step.target_ms or step.lasting:
-        return _score_serving(request, runner, contention, now, (fresh, near_data))
+        return _score_serving(request, runner, contention, now, (not_avoided, near_data))
     tolerated = contention.tolerated_share(runner.serving_images)
-    return (fresh, near_data, -round(tolerated, 1), float(runner.idle_millicores))
+    return (not_avoided, near_data, -round(tolerated, 1), float(runner.idle_millicores))
 
 
 def _score_filler(
@@ -175,7 +182,7 @@
     runner: RunnerState,
     contention: ContentionModel,
     now: float,
-    first: tuple[float, ...],
+    score_prefix: tuple[float, ...],
 ) -> tuple[float, ...]:
     effect = _filler_effect(step, runner, contention, now)
     if isinstance(effect, Obstacle):
@@ -183,21 +190,24 @@
     harmless = 1.0 if effect <= NEGLIGIBLE_EFFECT else 0.0
     # Leave runners that tolerate many kinds of fillers to the fillers that few runners tolerate.
     tolerated = contention.tolerated_share(runner.serving_images)
-    return (*first, harmless, -round(tolerated, 1), -effect, float(runner.idle_millicores))
+    return (*score_prefix, harmless, -round(tolerated, 1), -effect, float(runner.idle_millicores))
 
 
 def _filler_effect(
     step: Step, runner: RunnerState, contention: ContentionModel, now: float
 ) -> float | Obstacle:
-    """Return the largest increase of a tail's logarithm by one more filler, or its obstacle."""
+    """Return by how much one more filler raises the logarithm of a tail latency, or its obstacle.
+
+    The result is the largest increase over the serving images of the runner.
+    """
     if runner.idle_millicores < step.millicores * MIN_IDLE_SHARE:
-        return Obstacle.IDLE
-    room = _filler_room(runner, contention, now)
-    if room.over:
-        return Obstacle.OVER
+        return Obstacle.PROCESSORS
+    headroom = _filler_headroom(runner, contention, now)
+    if headroom.over:
+        return Obstacle.OVER_TARGET
     share = runner.share(step.millicores)
     effect = 0.0
-    for image, allowed in room.left:
+    for image, allowed in headroom.left:
         increase = contention.weight(image, step.image) * share
         if contention.harmless(image, step.image) < HARMLESS_LIKELIHOOD and increase > allowed:
             return Obstacle.HARM
@@ -219,15 +229,21 @@
 ) -> Obstacle | None:
     """Return why a runner cannot take one more filler, or None if it can."""
     if not runner.fits(step.demand):
-        return Obstacle.ROOM
+        return Obstacle.CAPACITY
     effect = _filler_effect(step, runner, contention, now)
     return effect if isinstance(effect, Obstacle) else None
 
 
-def _filler_room(runner: RunnerState, contention: ContentionModel, now: float) -> FillerHeadroom:
-    """Return what one more filler may add to the tails on a runner, cached until a change."""
+def _filler_headroom(
+    runner: RunnerState, contention: ContentionModel, now: float
+) -> FillerHeadroom:
+    """Return by how much one more filler may raise the tail latencies on a runner.
+
+    The result is cached for FILLER_HEADROOM_TTL_S, or until the runner's runs, paces or metrics
+    change.
+    """
     cached = runner.filler_headroom
-    if cached is not None and now - cached.at < FILLER_ROOM_TTL_S:
+    if cached is not None and now - cached.at < FILLER_HEADROOM_TTL_S:
         return cached
     shares = runner.filler_shares(now)
     bases: dict[str, float] = {}
@@ -241,12 +257,12 @@
         (image, MAX_LOG_TAIL_SHARE - base - contention.effect(image, shares.items()))
         for image, base in bases.items()
     )
-    room = runner.filler_headroom = FillerHeadroom(now, over, left)
-    return room
+    headroom = runner.filler_headroom = FillerHeadroom(now, over, left)
+    return headroom
 
 
 def max_effect(image: str, share: float, runner: RunnerState, contention: ContentionModel) -> float:
-    """Return the largest increase of any serving task's tail logarithm by a filler on a runner."""
+    """Return the most by which a filler raises the logarithm of a tail latency on a runner."""
     return max(
         (contention.weight(serving, image) * share for serving in runner.serving), default=0.0
     )
@@ -257,25 +273,25 @@
     runner: RunnerState,
     contention: ContentionModel,
     now: float,
-    first: tuple[float, ...],
+    score_prefix: tuple[float, ...],
 ) -> tuple[float, ...]:
     step = request.step
     shares = runner.filler_shares(now)
-    pressure = contention.effect(step.image, shares.items())
-    cost = filler_cores_taken(step, runner, contention) + pressure * TAIL_COST_CORES
-    after = float(runner.used_millicores + step.millicores)
-    return (*first, -round(cost, 1), after)
+    tail_increase = contention.effect(step.image, shares.items())
+    cost = filler_cores_taken(step, runner, contention) + tail_increase * TAIL_COST_CORES
+    used_after = float(runner.used_millicores + step.millicores)
+    return (*score_prefix, -round(cost, 1), used_after)
 
 
 def filler_cores_taken(step: Step, runner: RunnerState, contention: ContentionModel) -> float:
     """Return the processors that a serving task on a runner is likely to take from fillers, cores.
 
-    A runner without serving tasks will receive more tasks of the image, so that only this task's
-    part of what all of them take counts.
+    A runner without serving tasks will receive more tasks of the image. Only this task's part of
+    what all of them take from fillers counts there.
     """
     taken = step.millicores * SERVING_USE_SHARE / 1000.0
     tolerated_with_task = contention.tolerated_share(frozenset((*runner.serving, step.image)))
-    idle = open_cores(runner)
+    idle = cores_left_to_fillers(runner)
     if not runner.serving:
         capacity_cores = runner.entry.room.millicores / 1000.0
         task_share = step.millicores / 1000.0 / max(capacity_cores, 0.001)
@@ -288,6 +304,6 @@
     )
 
 
-def open_cores(runner: RunnerState) -> float:
+def cores_left_to_fillers(runner: RunnerState) -> float:
     """Return the processors that serving and short tasks leave to fillers on a runner, cores."""
     return max(0.0, (runner.idle_millicores + runner.filled_millicores) / 1000.0)
--- a/spoolcrank/placing.py
+++ b/spoolcrank/placing.py
@@ -25,9 +25,9 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import RunnerId, StepKey, TaskKey
 
-MAX_MISSES = 3
-"""Number of steps of one image that may find no runner before a pass skips the rest of that image.
-Trying all of a long queue costs more than finding a runner one pass later."""
+MAX_MISSES_PER_KIND = 3
+"""Number of steps of one kind that may find no runner before this part of the pass skips the others
+of that kind. Trying all of a long queue costs more than finding a runner one pass later."""
 
 LASTING_BATCH_S = 0.25
 """Time for which a new lasting job waits so that jobs arriving together are placed by image,
@@ -77,23 +77,21 @@
 
 def filler_mix(state: Scheduler) -> dict[str, float]:
     """Return the share of each image in the processors that running and waiting fillers want."""
-    wanted: Counter[str] = Counter()
+    demand_millicores: Counter[str] = Counter()
     for runner in state.runners.values():
         for run in runner.runs.values():
             if run.fills:
-                wanted[run.image] += run.wanted_millicores
+                demand_millicores[run.image] += run.wanted_millicores
     for job in state.waiting_jobs():
         for round_state in job.rounds.values():
             for _, step in round_state.ready():
                 if step.spec.fills:
-                    wanted[step.spec.image] += len(step.waiting) * step.spec.millicores
-    total = sum(wanted.values())
-    return {image: amount / total for image, amount in wanted.items()}
+                    demand_millicores[step.spec.image] += len(step.waiting) * step.spec.millicores
+    total = sum(demand_millicores.values())
+    return {image: amount / total for image, amount in demand_millicores.items()}
 
 
-def _short_running(
-    state: Scheduler,
-) -> int:
+def _short_running(state: Scheduler) -> int:
     return sum(
         run.demand.millicores
         for runner in state.runners.values()
@@ -102,9 +100,7 @@
     )
 
 
-def _short_waiting(
-    state: Scheduler,
-) -> int:
+def _short_waiting(state: Scheduler) -> int:
     return sum(
         len(step.waiting) * step.spec.demand.millicores
         for job in state.waiting_jobs()
@@ -115,8 +111,8 @@
 
 
 TURN_WAIT_S = 1.0
-"""Time without a start after which a job gets a turn, seconds. A job counts as lost once it has had
-nothing running for 3 s while there is free capacity for it."""
+"""Time without a start after which a job gets a turn, which is one start out of order, seconds. A
+job counts as lost once it has had nothing running for 3 s while there is free capacity for it."""
 
 TURN_INTERVAL_S = 0.25
 """Interval between turns while some waiting job can still meet its objective, seconds. With the
@@ -124,7 +120,7 @@
 
 LATE_TURN_INTERVAL_S = 0.02
 """Interval between turns while only late jobs wait, seconds. Turns then use all of a link of
-1 Mbit/s: the order of late jobs earns little, and forty jobs get a start each within 2 s."""
+1 Mbit/s: the order of late jobs gains little value, and forty jobs get one start each in 2 s."""
 
 
 def place(state: Scheduler, now: float, time_of_day_ms: float) -> bool:
@@ -179,13 +175,13 @@
     runners are free: with links of 1 to 2 Mbit/s this took 8 s.
     """
     waiting = [state.jobs[job_id] for job_id in state.ready]
-    late = [job for job in waiting if not job.lasting and now - job.started_at >= TURN_WAIT_S]
-    if not late:
+    overdue = [job for job in waiting if not job.lasting and now - job.started_at >= TURN_WAIT_S]
+    if not overdue:
         return
     state.starts.last_turn_at = now
     # A budget of one byte ends this pass with its first start.
     turn = PlacingPass(bytes_left=1.0)
-    job = min(late, key=lambda late_job: late_job.started_at)
+    job = min(overdue, key=lambda overdue_job: overdue_job.started_at)
     _place_job(state, job, Prospect.HOPELESS, pools, turn, now)
     current.pairs_left -= MAX_PAIRS_PER_PART - turn.pairs_left
     current.bytes_left -= 1.0 - turn.bytes_left
@@ -194,7 +190,7 @@
 def _end_part(state: Scheduler, current: PlacingPass) -> bool:
     state.starts.held_back = current.link_full
     if current.link_full:
-        # The pair budget did not run out: the next part starts with the jobs then first in order.
+        # The pair limit was not reached: the next part starts with the jobs then first in order.
         state.placing = PlacingPass()
     return False
 
@@ -221,46 +217,46 @@
     runners = pools.get(service, [])
     still_waits = False
     for round_state in list(job.rounds.values()):
-        for number, step in list(round_state.ready()):
+        for step_number, step in list(round_state.ready()):
             kind = (service, step.spec.image)
-            tried = StepKey(job.id, round_state.number, number)
+            step_key = StepKey(job.id, round_state.number, step_number)
             # Lasting tasks are few, and none may wait while there is free capacity for it.
-            missed = current.misses.get(kind, 0) >= MAX_MISSES and not step.spec.lasting
+            skip_kind = current.misses.get(kind, 0) >= MAX_MISSES_PER_KIND and not step.spec.lasting
             resumes = step.spec.lasting and job.begun
-            if missed or current.was_tried(tried, resumes, now):
+            if skip_kind or current.should_skip(step_key, resumes, now):
                 still_waits = True
                 continue
             if step.spec.fills and _was_refused(state, kind, step, now):
                 _claim(state, current.claimed, kind, prospect)
                 still_waits = True
                 continue
-            # Leave the next place of this image to the job of better prospect that waits for it.
+            # Leave the next place of this kind to the job of better prospect that waits for it.
             if step.spec.fills and current.claimed.get(kind, prospect) < prospect:
                 still_waits = True
                 continue
-            placed = _place_step(
-                state, job, round_state.number, number, step, runners, current, now
+            result = _place_step(
+                state, job, round_state.number, step_number, step, runners, current, now
             )
-            if placed is PlacingResult.ALL:
+            if result is PlacingResult.ALL:
                 continue
             still_waits = True
-            if placed is PlacingResult.PART_SPENT:
+            if result is PlacingResult.PART_SPENT:
                 return
-            if placed is PlacingResult.HELD_BACK:
-                # The step waits for another reason than capacity: record neither a try nor a miss.
+            if result is PlacingResult.HELD_BACK:
+                # The step does not wait for capacity: record neither a try nor a miss.
                 continue
-            current.tried[tried] = now
+            current.tried[step_key] = now
             current.misses[kind] = current.misses.get(kind, 0) + 1
             if step.spec.fills:
                 _claim(state, current.claimed, kind, prospect)
-                until = now + FILLER_RETRY_S
-                state.filler_refusals[kind] = FillerRefusal(step.spec.millicores, until)
+                retry_at = now + FILLER_RETRY_S
+                state.filler_refusals[kind] = FillerRefusal(step.spec.millicores, retry_at)
     if not still_waits:
         state.ready.pop(job.id, None)
 
 
 def _claim(state: Scheduler, claimed: dict[Kind, Prospect], kind: Kind, prospect: Prospect) -> None:
-    """Reserve the next place of a kind for jobs of this prospect or a better one."""
+    """Leave the next place of a kind to jobs of this prospect or a better one."""
     if state.uses(Mechanism.CLAIMS):
         claimed.setdefault(kind, prospect)
 
@@ -277,7 +273,7 @@
     state: Scheduler,
     job: JobState,
     round_number: int,
-    number: int,
+    step_number: int,
     step: StepState,
     runners: list[RunnerState],
     current: PlacingPass,
@@ -285,9 +281,9 @@
 ) -> PlacingResult:
     if step.spec.gang:
         current.pairs_left -= len(runners) * len(step.tasks)
-        gang_placed = place_gang(state, job, round_number, number, step, runners, now)
+        gang_placed = place_gang(state, job, round_number, step_number, step, runners, now)
         if gang_placed:
-            task_bytes = state.start_bytes(TaskKey(job.id, round_number, number, 0))
+            task_bytes = state.start_bytes(TaskKey(job.id, round_number, step_number, 0))
             current.bytes_left -= task_bytes * len(step.tasks)
         return PlacingResult.ALL if gang_placed else PlacingResult.NO_PLACE
     tasks_per_runner = step.per_runner() if step.spec.max_per_instance else {}
@@ -296,7 +292,7 @@
     # Tasks that ran before come first: the reserve applies to the others only.
     for index in sorted(step.waiting, key=lambda waiting_index: step.tasks[waiting_index].run == 0):
         task = step.tasks[index]
-        key = TaskKey(job.id, round_number, number, index)
+        key = TaskKey(job.id, round_number, step_number, index)
         if task.not_before > now:
             held_back = True
             continue
@@ -320,7 +316,7 @@
                 held_back = True
                 continue
         elif task.run:
-            # Its failed runner or its destination distinguishes it from other tasks of the step.
+            # Unlike the step's other tasks, it may have a runner to avoid or a destination.
             current.pairs_left -= len(runners)
             runner = _choose_for_rerun(state, task, request, runners, now)
         else:
@@ -328,7 +324,7 @@
             ranking = ranking or Ranking(request, runners, state.contention, now)
             runner = ranking.best()
         if runner is None:
-            if task.wanted != NO_RUNNER:
+            if task.move_destination != NO_RUNNER:
                 held_back = True
                 continue
             return PlacingResult.NO_PLACE
@@ -351,9 +347,9 @@
 ) -> RunnerState | None:
     """Return the runner for a task that ran before; a suspect prefers one without suspects."""
     if independent_crashes(task.crashes):
-        found = _choose_destination(state, task, request, without_suspects(runners), now)
-        if found is not None:
-            return found
+        chosen = _choose_destination(state, task, request, without_suspects(runners), now)
+        if chosen is not None:
+            return chosen
     return _choose_destination(state, task, request, runners, now)
 
 
@@ -364,18 +360,18 @@
     runners: list[RunnerState],
     now: float,
 ) -> RunnerState | None:
-    """Return the destination of a moved task, or the best runner once its reservation expired."""
-    destinations = [runner for runner in runners if runner.id == task.wanted]
-    found = choose(request, destinations, state.contention, now)
-    if found is None and destinations and now < task.wanted_until:
+    """Return a moved task's destination; without one, or after a time-out, the best runner."""
+    destinations = [runner for runner in runners if runner.id == task.move_destination]
+    chosen = choose(request, destinations, state.contention, now)
+    if chosen is None and destinations and now < task.move_until:
         return None
-    found = found or choose(request, runners, state.contention, now)
-    if found is None and request.step.lasting and task.run:
-        # A quarantined runner is better than none for a lasting task that has to resume: the
-        # task itself may have caused its runner's failure.
+    chosen = chosen or choose(request, runners, state.contention, now)
+    if chosen is None and request.step.lasting and task.run:
+        # For a lasting task that has to resume, a quarantined runner is better than none: the
+        # task itself may have caused the failures there.
         quarantined_runners = state.quarantined(request.service, now)
-        found = choose(request, quarantined_runners, state.contention, now)
-    return found
+        chosen = choose(request, quarantined_runners, state.contention, now)
+    return chosen
 
 
 def has_harmless_place(state: Scheduler, key: TaskKey, away_from: RunnerId, now: float) -> bool:
--- a/spoolcrank/placing_pass.py
+++ b/spoolcrank/placing_pass.py
@@ -26,7 +26,15 @@
 
 
 class PlacingResult(Enum):
-    """Outcome of placing the waiting tasks of one step."""
+    """Outcome of placing the waiting tasks of one step.
+
+    Attributes:
+        ALL: every task that waited is bound.
+        HELD_BACK: some tasks wait for something else than capacity: a retry delay, an exclusive
+            runner or the destination of a move.
+        NO_PLACE: a task found no runner.
+        PART_SPENT: the limits of the current part were reached first.
+    """
 
     ALL = "all"
     HELD_BACK = "held-back"
@@ -35,7 +43,12 @@
 
 
 class FillerRefusal(NamedTuple):
-    """Smallest filler of an image that was refused, and when fillers that large are tried again."""
+    """Smallest filler of one kind that was refused, and when fillers that large are tried again.
+
+    Attributes:
+        millicores: processors that the refused filler wanted.
+        until: time from which such fillers are tried again, monotonic seconds.
+    """
 
     millicores: int
     until: float
@@ -51,7 +64,8 @@
             capacity of the leader's link.
         misses: by kind, number of steps that found no runner in the current part. Misses of an
             earlier part do not predict the result for a job that arrived since.
-        claimed: by kind, the prospect of the first job that found no runner.
+        claimed: by kind, the prospect of the first job whose filler found no runner. Jobs of worse
+            prospect leave the next place of that kind to it.
         tried: by step, when it found no runner, monotonic seconds. Later parts do not try these
             steps again, so that each part gets further than the previous one.
     """
@@ -68,13 +82,13 @@
         self.bytes_left = bytes_left
         self.misses.clear()
 
-    def was_tried(self, step: StepKey, again: bool, now: float) -> bool:
+    def should_skip(self, step: StepKey, may_retry: bool, now: float) -> bool:
         """Return whether to skip a step that found no runner in this pass.
 
-        With `again`, a step is skipped only until RETRY_LASTING_S has passed.
+        With `may_retry`, a step is skipped only until RETRY_LASTING_S has passed.
         """
         tried_at = self.tried.get(step)
-        return tried_at is not None and not (again and now - tried_at >= RETRY_LASTING_S)
+        return tried_at is not None and not (may_retry and now - tried_at >= RETRY_LASTING_S)
 
     @property
     def spent(self) -> bool:
--- a/spoolcrank/preassignment.py
+++ b/spoolcrank/preassignment.py
@@ -15,7 +15,7 @@
 from spoolcrank.crash_history import independent_crashes
 from spoolcrank.job_state import NO_RUNNER, JobState, StepState
 from spoolcrank.objective import work_order
-from spoolcrank.packing import PlacementRequest, choose, could_ever_hold, max_effect
+from spoolcrank.packing import PlacementRequest, choose, fits_when_empty, max_effect
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import FINAL, RunnerId, Step, TaskKey
@@ -29,12 +29,13 @@
 
 MAX_CANDIDATES = 24
 """Maximum number of runners considered for one task, in rotation. Considering all runners of a
-large fleet would cost processor time."""
+large fleet would take too much processor time."""
 
 MAX_RUNNERS = 64
 """Number of runners above which nothing is preassigned, as each update goes over all jobs and
-waiting tasks. With 246 runners the same day earned 0.451 with preassignment and 0.535 without (one
-trial each), and used 7 % more processor time. With up to 33 runners preassignment earned more."""
+waiting tasks. With 246 runners the same day earned 0.451 with preassignment and 0.535 without it
+(one trial each), and preassignment used 7 % more processor time. With up to 33 runners
+preassignment earned more."""
 
 MIN_LEASE_LEFT_MS = 2500.0
 """Minimum remaining lease for the start of a preassigned task, ms. Such a start extends no lease,
@@ -51,8 +52,8 @@
     """Periodic preassignment; keeps the time of the last update and the next runner in rotation."""
 
     def __init__(self) -> None:
-        self._at = -PREASSIGN_INTERVAL_S
-        self._next = 0
+        self._updated_at = -PREASSIGN_INTERVAL_S
+        self._next_candidate = 0
         self._active = False
 
     def start(self, state: Scheduler, now: float) -> None:
@@ -62,21 +63,21 @@
 
     def renew(self, state: Scheduler, now: float) -> None:
         """Preassign the next tasks, up to a limit for each runner; do nothing between updates."""
-        if now - self._at < PREASSIGN_INTERVAL_S:
+        if now - self._updated_at < PREASSIGN_INTERVAL_S:
             return
-        self._at = now
+        self._updated_at = now
         pools = state.pools(now)
         self._active = 0 < sum(len(pool) for pool in pools.values()) <= MAX_RUNNERS
         if not self._active:
             return
-        left = MAX_PREASSIGNED * sum(len(pool) for pool in pools.values())
+        remaining = MAX_PREASSIGNED * sum(len(pool) for pool in pools.values())
         preassigned_counts: Counter[RunnerId] = Counter()
         for job in _in_order(state, now):
             pool = pools.get(state.service_of(job), [])
             for key, step in _next_tasks(job):
-                if left <= 0:
+                if remaining <= 0:
                     return
-                left -= 1
+                remaining -= 1
                 runner = self._runner_for(state, key, step, pool, preassigned_counts, now)
                 preassign(state, job, key, runner)
                 if runner != NO_RUNNER:
@@ -100,22 +101,22 @@
             and preassigned_counts[present.id] < MAX_PREASSIGNED
         ):
             return present.id
-        tried = [
-            pool[(self._next + offset) % len(pool)]
+        candidates = [
+            pool[(self._next_candidate + offset) % len(pool)]
             for offset in range(min(MAX_CANDIDATES, len(pool)))
         ]
-        self._next += len(tried)
-        fit = [
+        self._next_candidate += len(candidates)
+        suitable = [
             runner
-            for runner in tried
+            for runner in candidates
             if preassigned_counts[runner.id] < MAX_PREASSIGNED
             and runner.id != task.refused_by
-            and could_ever_hold(step.spec, runner)
+            and fits_when_empty(step.spec, runner)
         ]
-        if not fit:
+        if not suitable:
             return NO_RUNNER
         return max(
-            fit,
+            suitable,
             key=lambda candidate: _score(
                 state, step.spec, candidate, preassigned_counts[candidate.id]
             ),
@@ -139,8 +140,8 @@
 
 def _in_order(state: Scheduler, now: float) -> list[JobState]:
     """Return the jobs with tasks to preassign, in work order."""
-    alive = [job for job in state.jobs.values() if job.phase not in FINAL]
-    jobs = [job for job in alive if job.rounds and not job.lasting]
+    unfinished = [job for job in state.jobs.values() if job.phase not in FINAL]
+    jobs = [job for job in unfinished if job.rounds and not job.lasting]
     return sorted(jobs, key=lambda job: work_order(job, state.times, now))
 
 
@@ -168,12 +169,14 @@
             for number, step in list(round_state.ready()):
                 for index in list(step.waiting):
                     key = TaskKey(job.id, round_state.number, number, index)
-                    runner = _runner_now(state, job, key, now)
+                    runner = _startable_runner(state, job, key, now)
                     if runner is not None:
                         bind(state, job, key, step.tasks[index].run + 1, runner, now)
 
 
-def _runner_now(state: Scheduler, job: JobState, key: TaskKey, now: float) -> RunnerState | None:
+def _startable_runner(
+    state: Scheduler, job: JobState, key: TaskKey, now: float
+) -> RunnerState | None:
     """Return the preassigned runner of a task, or None if the task may not start there now."""
     task = job.task(key)
     runner = state.runners.get(task.preassigned) if task.preassigned_stored else None
--- a/spoolcrank/ranking.py
+++ b/spoolcrank/ranking.py
@@ -1,10 +1,10 @@
 """Choose runners for all tasks of one step with a single evaluation of the runners.
 
-This serves wide jobs over many runners. All tasks of a step have the same needs, and binding one of
-them changes only one runner, so that the order of the others stays valid. Evaluating every runner
-for each task took 37 to 57 % of a leader's busy time over 270 runners (stack samples of three
-days), which delayed all work that waited for the end of the pass. The result is exactly that of
-calling `packing.choose` for one task after the other.
+This makes wide jobs on many runners cheap to place. All tasks of a step have the same needs, and
+binding one of them changes only one runner, so that the order of the others stays valid. Evaluating
+every runner for each task took 37 to 57 % of a leader's busy time over 270 runners (stack samples
+of three days), which delayed all work that waited for the end of the pass. The result is exactly
+that of calling `packing.choose` for one task after the other.
 """
 
 from bisect import insort
@@ -35,7 +35,7 @@
         self._now = now
         self._demand = request.step.demand
         scores = map(self._score, runners)
-        # The best runner is taken from the end, so that among equal scores the first runner wins.
+        # The best runner is last. Indices are negated so that the first of equal runners wins.
         self._order = [
             (runner_score, -index) for index, runner_score in enumerate(scores) if runner_score
         ]
--- a/spoolcrank/regrouping.py
+++ b/spoolcrank/regrouping.py
@@ -12,7 +12,7 @@
 
 from spoolcrank.contention import ContentionModel
 from spoolcrank.exchanges import MIN_STAY_S, Move, exchange_tasks, is_running
-from spoolcrank.packing import open_cores
+from spoolcrank.packing import cores_left_to_fillers
 from spoolcrank.runner_state import SERVING_USE_SHARE, RunnerState
 from spoolcrank.runs import Run
 from spoolcrank.scheduler import Scheduler
@@ -138,10 +138,10 @@
     if not _may_move(state, [key for key, _ in tasks]):
         return None
     demands = [run.demand for _, run in tasks]
-    return _Group(runner, image, tasks, _sum(demands))
+    return _Group(runner, image, tasks, _total_demand(demands))
 
 
-def _sum(demands: Iterable[Demand]) -> Demand:
+def _total_demand(demands: Iterable[Demand]) -> Demand:
     parts = list(demands)
     return Demand(
         sum(demand.millicores for demand in parts),
@@ -186,7 +186,7 @@
     contention = state.contention
     for group in groups:
         source = group.runner
-        idle = open_cores(source)
+        idle = cores_left_to_fillers(source)
         rest = [image for image in source.serving if image != group.image]
         gained = _filler_capacity(
             contention, idle + _expected_use(group.demand.millicores), rest
@@ -236,7 +236,7 @@
 ) -> float:
     """Return the cores of filler capacity lost by one more task after `before` of its group."""
     taken = _expected_use(run.demand.millicores)
-    idle = open_cores(destination) - before * taken
+    idle = cores_left_to_fillers(destination) - before * taken
     images = (*destination.serving, image) if before else destination.serving
     return _filler_capacity(contention, idle, images) - _filler_capacity(
         contention, idle - taken, (*destination.serving, image)
@@ -264,7 +264,7 @@
     gain = 0.0
     for leaving, arriving in ((first, second), (second, first)):
         runner = leaving.runner
-        idle = open_cores(runner)
+        idle = cores_left_to_fillers(runner)
         images = [image for image in runner.serving if image != leaving.image]
         change = _expected_use(leaving.demand.millicores - arriving.demand.millicores)
         gain += _filler_capacity(contention, idle + change, (*images, arriving.image))
@@ -286,7 +286,7 @@
     state: Scheduler, destination: RunnerState, tasks: list[tuple[TaskKey, Run]], leaving: Demand
 ) -> bool:
     """Return whether a runner has capacity for tasks after others have left it."""
-    arriving = _sum(run.demand for _, run in tasks)
+    arriving = _total_demand(run.demand for _, run in tasks)
     net = Demand(*(more - less for more, less in zip(arriving, leaving, strict=True)))
     if not destination.fits(net):
         return False
--- a/spoolcrank/scheduler.py
+++ b/spoolcrank/scheduler.py
@@ -58,7 +58,23 @@
 
 
 class Scheduler:
-    """State and decisions of one leader during its term."""
+    """State and decisions of one leader during its term.
+
+    Attributes:
+        without: mechanisms that are switched off.
+        predecessor_wrote_at: time from which leases of an earlier leader may run, monotonic
+            seconds.
+        contention: model of how fillers slow serving tasks.
+        times: model of the run times of tasks.
+        extends_until: time until which leases may be extended, monotonic seconds.
+        reserve: millicores that lasting tasks leave to short tasks on each runner.
+        short_demand: average demand of short tasks, millicores.
+        evacuated: availability zones in which nothing more starts.
+        orders: orders to be sent to runners.
+        ready: ids of the jobs that may have tasks to place, used as an ordered set.
+        placing: pass over the waiting work in progress.
+        ended: ended jobs whose records are still stored, with the time of their end.
+    """
 
     def __init__(
         self, term: int, now: float, predecessor_wrote_at: float, lease_ms: int = LEASE_MS
@@ -306,8 +322,8 @@
             run.ordered_at = now
         # While the store is unreachable, another process may have become leader, which relies on
         # this one granting no further leases.
-        extends = now <= self.extends_until
-        until_ms = runner.grant(now) if extends else int(runner.granted_ms)
+        may_extend = now <= self.extends_until
+        until_ms = runner.grant(now) if may_extend else int(runner.granted_ms)
         # A retry goes to a runner that did not answer the first attempt: it takes none of the
         # link's window, so that other runners' starts do not wait for it.
         size = START_OVERHEAD_BYTES + len(payload) + len(task.saved) if run.tries == 1 else 0
--- a/spoolcrank/slot_use.py
+++ b/spoolcrank/slot_use.py
@@ -21,7 +21,7 @@
     """Decaying peak of the number of busy slots of one runner.
 
     Attributes:
-        peak: in slots.
+        peak: recent maximum of simultaneously busy slots, decayed since.
         at: time of the last update, monotonic seconds.
     """
 
