--- a/spoolcrank/assignment.py
+++ b/spoolcrank/assignment.py
@@ -3,12 +3,7 @@
 from spoolcrank import interference, membership, ownership, placement
 from spoolcrank.epochs import claim_of
 from spoolcrank.fleet import Instance, Role
-from spoolcrank.ids import (
-    InstanceId,
-    JobId,
-    Rack,
-    TaskClass,
-)
+from spoolcrank.ids import InstanceId, JobId, Rack, TaskClass
 from spoolcrank.jobs import JobClass, Size
 from spoolcrank.ledger import Task
 from spoolcrank.lost_tasks import EXCLUSIVE_S, ISOLATE_AFTER_CRASHES, MIN_AGE_GAP_S
@@ -23,13 +18,14 @@
 requests."""
 
 _MAX_RETRIED_PER_PASS = _MAX_TASKS_PER_PASS // 2
-"""Maximum number of these tasks that earlier passes could not place. The rest of a pass continues
-where the earlier passes ended, so that every waiting task is considered in turn, while those of
-highest priority are still considered in each pass."""
+"""Maximum number of tasks considered in one pass that earlier passes could not place. The rest of
+a pass continues where the earlier passes ended, so that every waiting task is considered in turn,
+while those of highest priority are still considered in each pass."""
 
 _JOB_WIDE_OBSTACLES = frozenset({Obstacle.NO_ROOM, Obstacle.QUOTA, Obstacle.NO_SERVER})
 """Obstacles that, found for one task of a job, hold for all its tasks for the rest of a pass."""
 
+# Time for which a task must have waited, as we saw it, before its job is refused.
 _REFUSE_AFTER_S = 1.0
 
 
@@ -52,7 +48,7 @@
             continue
         if ownership.preferred(job.id, alive) != core.members.me:
             continue
-        reason = _impossible(job.spec.deadline_s, job.at, wall)
+        reason = _missed_deadline(job.spec.deadline_s, job.at, wall)
         reason = reason or placement.never_fits(job.spec, backends, core.policy)
         if reason:
             core.refusals_sent[job.id] = now
@@ -61,14 +57,14 @@
     return actions
 
 
-def _impossible(deadline_s: float | None, accepted_at: float, wall: float) -> str:
+def _missed_deadline(deadline_s: float | None, accepted_at: float, wall: float) -> str:
     if deadline_s is not None and wall - accepted_at > deadline_s:
         return f"its deadline of {deadline_s:g} s passed before it could be placed"
     return ""
 
 
 def place(core: Core, now: float, wall: float) -> list[CoreAction]:
-    """Place waiting tasks on our servers where it is our turn to place them."""
+    """Place waiting tasks on our servers, unless another owner may place them first."""
     ledger = core.ledger
     if not ledger.pending or not core.owned:
         return []
@@ -117,7 +113,7 @@
 
 
 def _closed_servers(core: Core, wall: float) -> set[InstanceId]:
-    """Return our servers where a task suspected of crashing servers has just started or will."""
+    """Return our servers where a task suspected of crashes has just started or is to start."""
     ledger = core.ledger
     closed = set()
     for owned in core.owned.values():
@@ -181,7 +177,7 @@
         return choice
     own = [(core.members.me, capacity.free) for capacity in capacities]
     order = placement.first_owners(task.id, size, [*own, *peers])
-    if not placement.may_take(order, core.members.me, waited, core.policy):
+    if not placement.may_place_now(order, core.members.me, waited, core.policy):
         return Choice(None, Obstacle.OTHER_OWNER_FIRST)
     return choice
 
@@ -194,17 +190,17 @@
     """
     spec = core.ledger.spec(task)
     declared = spec.size.resources
-    interference_model = core.interference_model.size_for(spec.task_class, declared, core.policy)
-    if interference_model.fits_in(declared):
-        return interference_model
+    learned_size = core.interference_model.size_for(spec.task_class, declared, core.policy)
+    if learned_size.fits_in(declared):
+        return learned_size
     backends = (
         instance for instance in core.members.listed.values() if instance.role is Role.BACKEND
     )
     if any(
-        interference_model.fits_in(placement.max_capacity(instance, spec, core.policy))
+        learned_size.fits_in(placement.max_capacity(instance, spec, core.policy))
         for instance in backends
     ):
-        return interference_model
+        return learned_size
     return declared
 
 
@@ -283,7 +279,7 @@
 
 
 def _is_sheltered(core: Core, instance: Instance) -> bool:
-    """Return whether a server is among those that its zone shelters from noisy work."""
+    """Return whether a server is one of those in its zone that are kept free of noisy work."""
     if not instance.service or not core.policy.interference.enabled:
         return False
     peers = [
@@ -291,9 +287,9 @@
         for server in membership.servers_of_zone(core.members)
         if server.service == instance.service and not server.leaving
     ]
-    wanted = placement.sheltered_count(len(peers), core.policy)
+    count = placement.sheltered_count(len(peers), core.policy)
     order = sorted(peers, key=lambda server: ownership.weight("sheltered", server), reverse=True)
-    return instance.id in order[:wanted]
+    return instance.id in order[:count]
 
 
 def _noisiness_of(core: Core, now: float) -> placement.NoisinessOf:
--- a/spoolcrank/controller.py
+++ b/spoolcrank/controller.py
@@ -121,12 +121,12 @@
     def _carry_out(self, now: float, traced: dict[str, Any], actions: list[CoreAction]) -> None:
         """Carry out the actions decided on an input; record both if a trace is written."""
         if self.recorder is not None:
-            self.recorder.note(now, traced, actions)
+            self.recorder.record_input(now, traced, actions)
         self.act(actions)
 
     def _trace_input(self, now: float, traced: dict[str, Any]) -> None:
         if self.recorder is not None:
-            self.recorder.note(now, traced)
+            self.recorder.record_input(now, traced)
 
     def on_latency(self, server: InstanceId, latency_s: float, now: float) -> None:
         """Update the interference model with the latency of one request."""
@@ -246,11 +246,11 @@
         match frame.message:
             case Heartbeat() as heartbeat:
                 self._on_heartbeat(heartbeat)
-            case HandoverMessage() as note:
+            case HandoverMessage() as handover:
                 now = time.monotonic()
-                traced = {"kind": "handover", **note._asdict()}
+                traced = {"kind": "handover", **handover._asdict()}
                 actions = ownership_transfer.on_handover(
-                    self.core, note.server, note.epoch, note.busy, now
+                    self.core, handover.server, handover.epoch, handover.busy, now
                 )
                 self._carry_out(now, traced, actions)
             case Query() as query:
@@ -279,8 +279,8 @@
 
     def _send_periodic_heartbeat(self) -> None:
         self._timers.after(self.core.policy.membership.heartbeat_s, self._send_periodic_heartbeat)
-        every = max(1, round(self._far_ratio()))
-        self._send_heartbeat(all_zones=self._seq % every == 0)
+        far_interval = max(1, round(self._far_ratio()))
+        self._send_heartbeat(all_zones=self._seq % far_interval == 0)
 
     def _send_heartbeat(self, all_zones: bool) -> None:
         self._seq += 1
@@ -321,10 +321,10 @@
 
     def _merge_learned(self, text: str) -> str:
         pairs, uses = json.loads(text)
-        lesson = ModelSnapshot(
+        snapshot = ModelSnapshot(
             [PairEstimate(*pair) for pair in pairs], [ClassUseEstimate(*use) for use in uses]
         )
-        self.core.interference_model.merge_snapshot(lesson, time.monotonic())
+        self.core.interference_model.merge_snapshot(snapshot, time.monotonic())
         return ""
 
     def ask(self, to: InstanceId, what: str, text: str, done: Callable[[str | None], None]) -> None:
@@ -337,9 +337,9 @@
         self._queries[number] = done
 
         def expire() -> None:
-            pending = self._queries.pop(number, None)
-            if pending is not None:
-                pending(None)
+            unanswered = self._queries.pop(number, None)
+            if unanswered is not None:
+                unanswered(None)
 
         self._timers.after(_QUERY_TIMEOUT_S, expire)
 
--- a/spoolcrank/core.py
+++ b/spoolcrank/core.py
@@ -29,8 +29,9 @@
 from spoolcrank.state import Core, CoreAction, LogEvent, Relinquished, can_act
 from spoolcrank.worker import Refused, Report
 
+# A longer time between two ticks means that the process was paused.
 _MAX_TICK_GAP_S = 1.0
-_MAX_DRAIN_EVICTIONS = 4
+_MAX_DRAIN_EVICTIONS_PER_REPORT = 4
 
 
 def on_heartbeat(core: Core, heartbeat: Heartbeat, now: float) -> bool:
@@ -91,7 +92,7 @@
 def on_report(
     core: Core, server: InstanceId, report: Report, sent_at: float, now: float
 ) -> list[CoreAction]:
-    """Handle a server's report, unless it is of another epoch or we may not act."""
+    """Handle a server's report; ignore it if its epoch is not ours or if we may not act."""
     owned = core.owned.get(server)
     if owned is None or report.epoch != owned.epoch or not can_act(core, now):
         return []
@@ -237,16 +238,16 @@
     """Evict the tasks of a server that is being drained, a few at a time."""
     if owned.waiting or owned.report is None:
         return []
-    to_evict = [run for run in owned.report.running if run.task not in owned.suspended]
+    to_evict = [run for run in owned.report.running if run.task not in owned.evicted_for_drain]
     actions: list[Action] = []
-    for run in to_evict[:_MAX_DRAIN_EVICTIONS]:
-        owned.suspended.add(run.task)
+    for run in to_evict[:_MAX_DRAIN_EVICTIONS_PER_REPORT]:
+        owned.evicted_for_drain.add(run.task)
         actions.append(evict(owned, run.task, run.attempt, policy, now))
     return actions
 
 
 def replace_ledger(core: Core, ledger: Ledger, now: float) -> list[CoreAction]:
-    """Replace our ledger by one of a peer or a snapshot, which must be ahead of ours.
+    """Replace our ledger by that of a peer or a snapshot, which must be ahead of ours.
 
     The records in between are never read one by one, so this function also makes the changes
     that they would have made outside the ledger. Otherwise a claim of our own among them would
--- a/spoolcrank/explain.py
+++ b/spoolcrank/explain.py
@@ -202,17 +202,18 @@
 
 
 def _why_job(core: Core, job: Job, answers: list[Row]) -> Explanation:
-    waiting = [
+    unfinished = [
         core.ledger.tasks[task]
         for task in job.tasks
         if core.ledger.tasks[task].state not in (TaskState.FINISHED,)
     ]
     state = job_state(core.ledger, job)
-    if not waiting:
+    if not unfinished:
         return Explanation(f"{job.id} finished all {len(job.tasks)} tasks.", {"state": state.value})
-    first = _why_task(core, waiting[0], answers)
+    first = _why_task(core, unfinished[0], answers)
     sentence = (
-        f"{job.id} is {state.value}, {len(waiting)} of {len(job.tasks)} tasks have not finished. "
+        f"{job.id} is {state.value}, "
+        f"{len(unfinished)} of {len(job.tasks)} tasks have not finished. "
     )
     return Explanation(sentence + first.sentence, {"state": state.value, **first.facts})
 
--- a/spoolcrank/instance_poller.py
+++ b/spoolcrank/instance_poller.py
@@ -15,7 +15,7 @@
 
 
 class InstancePoller(BaseComponent):
-    """Poll the instance list and fire `fleet_listed` whenever it changes."""
+    """A poller of the instance list, which fires `fleet_listed` whenever the list changes."""
 
     channel = "instances"
 
--- a/spoolcrank/interference.py
+++ b/spoolcrank/interference.py
@@ -16,19 +16,25 @@
 from spoolcrank.resources import Resources
 from spoolcrank.worker import Usage
 
+# Usage reports of a class that are needed before its learned size replaces the declared one.
 _MIN_REPORTS = 3
 _HEADROOM_FACTOR = 1.1
 """Ratio of an allocation to the largest use reported for a task class."""
 
 _PROBE_INTERVAL_S = 10.0
+# Failures after which a server may be suspect. 0.8 of it is enough, as older failures count less.
 _MIN_FAILURES = 3
 _SUSPECT_FAILURE_RATIO = 3.0
+# Weight of a new latency in the recent latency, and of the latter in the calm one as it falls.
 _RECENT_WEIGHT = 0.2
+# The calm latency rises by the product of this weight and `_CALM_RISE_FACTOR`.
 _CALM_WEIGHT = 0.02
 _MIN_SAMPLES = 8
 _CALM_RISE_FACTOR = 0.05
+# Ratio to the calm latency above which a request counts as slow.
 _SLOW_REQUEST_RATIO = 1.6
 _SLOW_HALF_LIFE_S = 0.7
+# Mean life of an exponential decay with the half-life above, which is half-life / ln 2.
 _SLOW_MEAN_LIFE_S = 1.01
 
 
@@ -134,7 +140,12 @@
 
 
 class Exemption(NamedTuple):
-    """Exemption of batch work that does not cause a latency, until a monotonic time."""
+    """Exemption of batch work that is not the cause of a high latency.
+
+    Attributes:
+        recent_latency_s: The recent latency when the exemption began.
+        until: The monotonic time at which the exemption ends, in seconds.
+    """
 
     recent_latency_s: float
     until: float
@@ -228,7 +239,12 @@
             monitor.slow_updated_at = now
 
     def size_for(self, task_class: TaskClass, declared: Resources, policy: Policy) -> Resources:
-        """Return a declared size, corrected by the use that was reported for the class."""
+        """Return the size to allocate for a task of a class.
+
+        Processors and memory follow the use that was reported for the class; before there are
+        enough reports, they are the declared ones times `unknown_factor`. If sizes are not
+        learned, the declared size is returned unchanged.
+        """
         use = self.uses.get(task_class)
         if not policy.placement.learn_sizes:
             return declared
@@ -299,14 +315,14 @@
         ]
         return ModelSnapshot(pairs, uses)
 
-    def merge_snapshot(self, lesson: ModelSnapshot, now: float) -> None:
+    def merge_snapshot(self, snapshot: ModelSnapshot, now: float) -> None:
         """Merge a peer's snapshot: take its newer slowdowns and its larger uses."""
-        for class_use in lesson.uses:
+        for class_use in snapshot.uses:
             use = self.uses.setdefault(class_use.task_class, ClassUse())
             use.processors = max(use.processors, class_use.processors)
             use.memory_mb = max(use.memory_mb, class_use.memory_mb)
             use.reports = max(use.reports, class_use.reports)
-        for estimate in lesson.pairs:
+        for estimate in snapshot.pairs:
             pair = Pair(estimate.service, estimate.task_class, estimate.kind)
             known = self.pairs.get(pair)
             if known is None or known.at < now - estimate.age_s:
@@ -320,5 +336,5 @@
     to that use, each start would be allocated a tenth more than the one before, until the class
     fits on no server.
     """
-    wanted = used * _HEADROOM_FACTOR
-    return wanted if used > allocated else min(wanted, allocated)
+    with_headroom = used * _HEADROOM_FACTOR
+    return with_headroom if used > allocated else min(with_headroom, allocated)
--- a/spoolcrank/language.py
+++ b/spoolcrank/language.py
@@ -82,7 +82,7 @@
 
 
 class _CommandBuilder(Transformer[Token, Parsed]):
-    """Transform a parse tree into a command."""
+    """Transformer of a parse tree into a command."""
 
     def start(self, items: list[Parsed]) -> Parsed:
         return items[0]
--- a/spoolcrank/ledger.py
+++ b/spoolcrank/ledger.py
@@ -24,9 +24,7 @@
 )
 from spoolcrank.jobs import JobSpec, Size, TaskState
 from spoolcrank.lost_tasks import Crash
-from spoolcrank.records import (
-    KeyDone,
-)
+from spoolcrank.records import KeyDone
 
 
 class Task(BaseModel):
@@ -82,7 +80,7 @@
 
 
 class Drain(BaseModel):
-    """The command that took an instance or a rack out of use, and its author."""
+    """The command that took an instance or a rack out of use, and the operator's name."""
 
     command: CommandId
     by: str
@@ -108,7 +106,7 @@
     """The state that results from applying the control stream.
 
     `pending`, `by_server` and `by_team` are indexes over `tasks`; they are left out of snapshots.
-    `void` counts the records that had no effect.
+    `void` counts the records that had no effect; `latest` is the latest time in a record.
     """
 
     offset: int = 0
--- a/spoolcrank/ledger_records.py
+++ b/spoolcrank/ledger_records.py
@@ -5,10 +5,7 @@
 
 from spoolcrank.epochs import claim_of
 from spoolcrank.errors import Outcome
-from spoolcrank.ids import (
-    NO_EPOCH,
-    task_id,
-)
+from spoolcrank.ids import NO_EPOCH, task_id
 from spoolcrank.jobs import ENDED, JobClass, JobSpec, TaskState
 from spoolcrank.ledger import Claim, Drain, Job, Key, Ledger, Task, Verdict, Writer
 from spoolcrank.lost_tasks import causes_crashes, pause_s, with_crash
@@ -30,6 +27,7 @@
 ENDED_JOB_RETENTION_S = 3600.0
 KEY_RETENTION_S = 900.0
 WRITER_RETENTION_S = 7200.0
+# Backoff by the number of failures; a refused attempt counts as one failure more.
 RESTART_BACKOFF_S = (0.0, 0.5, 2.0, 5.0, 10.0, 30.0)
 _PRUNE_INTERVAL_RECORDS = 512
 
@@ -154,8 +152,8 @@
     if rec.how == "evicted":
         task.evictions += 1
     if task.state is TaskState.PENDING and rec.how in ("failed", "refused", "finished"):
-        steps = min(task.failures + (rec.how == "refused"), len(RESTART_BACKOFF_S) - 1)
-        task.not_before = at + RESTART_BACKOFF_S[steps]
+        backoff_index = min(task.failures + (rec.how == "refused"), len(RESTART_BACKOFF_S) - 1)
+        task.not_before = at + RESTART_BACKOFF_S[backoff_index]
     if task.state is TaskState.PENDING and rec.crash is not None:
         task.not_before = at + pause_s(len(task.crashes))
     _decrement_open_if_ended(job, task)
@@ -248,7 +246,7 @@
     job = ledger.jobs.get(rec.job)
     if job is None or job.open == 0:
         return False
-    refused = [ledger.tasks[key] for key in job.tasks]
+    refused = [ledger.tasks[task_key] for task_key in job.tasks]
     refused = [task for task in refused if task.state is TaskState.PENDING]
     for task in refused:
         ledger._remove_from_indexes(task)
--- a/spoolcrank/membership.py
+++ b/spoolcrank/membership.py
@@ -201,7 +201,7 @@
     ]
 
 
-def surely_silent_for(
+def unwitnessed_for_s(
     members: Members, instance: InstanceId, incarnation: Incarnation, policy: Policy, now: float
 ) -> float:
     """Return for how many seconds up to now a process has certainly had no witness.
@@ -215,15 +215,17 @@
         return float("inf")
     if instance not in members.listed and members.listed_at is not None:
         return float("inf")
-    silent_s = now - peer.last_heartbeat_at if peer is not None else now - members.started_at
+    unwitnessed_s = now - peer.last_heartbeat_at if peer is not None else now - members.started_at
     for other in other_entries(members):
         if other.id != instance:
             witness = members.peers.get(other.id)
-            silent_s = min(silent_s, _silent_by(witness, instance, incarnation, policy, now))
-    return silent_s
+            unwitnessed_s = min(
+                unwitnessed_s, _unwitnessed_by_s(witness, instance, incarnation, policy, now)
+            )
+    return unwitnessed_s
 
 
-def _silent_by(
+def _unwitnessed_by_s(
     witness: Peer | None,
     instance: InstanceId,
     incarnation: Incarnation,
--- a/spoolcrank/mitigation.py
+++ b/spoolcrank/mitigation.py
@@ -20,10 +20,15 @@
 from spoolcrank.policy import Policy
 from spoolcrank.worker import Report, RunningTask
 
+# Requests to be measured before a trial is judged or estimates are lowered.
 _MIN_SAMPLES = 8
+# Share of the difference by which an observation changes an estimate.
 _ESTIMATE_STEP = 0.3
+# Lowest slowdown by which a class is weighted, so that an unknown class is weighted too.
 _MIN_WEIGHT_SLOWDOWN = 0.02
+# Time for which requests must remain slow before mitigation, while routers steer them away.
 _MIN_SLOW_S = 2.0
+# Time that a task must have run before a calm service lowers the estimate of its class.
 _MIN_RUN_S = 2.0
 
 _MIN_RELIEF = 0.25
@@ -33,12 +38,13 @@
 
 _MIN_TRIAL_S = 3.0
 """Time after the last throttling before its effect is judged, in seconds. `_MIN_SAMPLES` requests
-must have been measured as well: those in flight have to end first, and the smoothed latency follows
-by a fifth with each request."""
+must have been measured as well: those in flight have to end first, and each
+request moves the smoothed latency by a fifth of the difference."""
 
 _EXEMPTION_S = 30.0
 """Time for which batch work is exempt after throttling it brought no relief, in seconds. It equals
-the time that work waits for a calm server; throttling it again on trial takes a sixth of it."""
+the default of `patience_s`, the time for which a batch task waits for a server with a calm service;
+another trial of throttling takes about a sixth of it."""
 
 _EXEMPTION_LATENCY_RATIO = 1.5
 """Ratio to the latency at the time of the exemption above which the exemption no longer holds: the
@@ -189,7 +195,7 @@
     policy: Policy,
     now: float,
 ) -> list[RunningTask]:
-    """Sort by learned slowdown, largest first; among equals, the one with least work to lose."""
+    """Sort by learned slowdown, largest first; of equals, the shortest run, which loses least."""
     return sorted(
         batch,
         key=lambda run: (
--- a/spoolcrank/operators.py
+++ b/spoolcrank/operators.py
@@ -372,7 +372,7 @@
     )
 
 
-def _matches_value(value: str, wanted: str) -> bool:
-    if wanted.endswith("*"):
-        return value.startswith(wanted[:-1])
-    return value == wanted
+def _matches_value(value: str, pattern: str) -> bool:
+    if pattern.endswith("*"):
+        return value.startswith(pattern[:-1])
+    return value == pattern
--- a/spoolcrank/owned_server.py
+++ b/spoolcrank/owned_server.py
@@ -44,6 +44,18 @@
     """A backend server that this instance owns.
 
     Times are of the owner's monotonic clock, in seconds.
+
+    Attributes:
+        adopted_at: When the server last became ready or was found restarted; infinite while it is
+            not ready.
+        next_poll_at: When the next adopt or renew command is due.
+        waiting: Number of commands that the server has not answered.
+        inherited_slots: Number of runner slots that the previous owner's requests may still use.
+        inherited_until: Until when `inherited_slots` are counted as busy.
+        starts: When we last sent the start command of each task.
+        ends: When we last appended the end of each attempt.
+        placing: Placements that we have appended but not yet read back from the log.
+        evicted_for_drain: Tasks that we evict because the server is being drained.
     """
 
     server: InstanceId
@@ -66,7 +78,7 @@
     starts: dict[TaskId, float] = field(default_factory=dict)
     ends: dict[AttemptRef, float] = field(default_factory=dict)
     placing: dict[TaskId, Placed] = field(default_factory=dict)
-    suspended: set[TaskId] = field(default_factory=set)
+    evicted_for_drain: set[TaskId] = field(default_factory=set)
 
     @property
     def incarnation(self) -> Incarnation:
@@ -87,7 +99,7 @@
         )
 
     def next_seq(self) -> int:
-        """Increment and return the sequence number of commands."""
+        """Return the sequence number of the next command; each call returns a new one."""
         self.seq += 1
         return self.seq
 
--- a/spoolcrank/ownership.py
+++ b/spoolcrank/ownership.py
@@ -18,7 +18,7 @@
     is_incarnation_alive,
     other_entries,
     owners_of_zone,
-    surely_silent_for,
+    unwitnessed_for_s,
 )
 from spoolcrank.policy import Policy
 
@@ -109,8 +109,8 @@
         now: The present time, in monotonic seconds.
     """
     leases = policy.leases
-    lapsed = leases.lease_s + leases.margin_s
-    if now - silent_since <= lapsed:
+    lapse_s = leases.lease_s + leases.margin_s
+    if now - silent_since <= lapse_s:
         return False
     if contacted:
         return True
@@ -120,8 +120,8 @@
         if is_alive(members, other.id, policy, now):
             continue
         incarnation = incarnation_of(members, other.id)
-        gone = surely_silent_for(members, other.id, incarnation, policy, now)
-        if gone <= leases.fence_s + lapsed:
+        unwitnessed_s = unwitnessed_for_s(members, other.id, incarnation, policy, now)
+        if unwitnessed_s <= leases.fence_s + lapse_s:
             return False
     return True
 
--- a/spoolcrank/ownership_transfer.py
+++ b/spoolcrank/ownership_transfer.py
@@ -2,20 +2,21 @@
 
 from spoolcrank import membership, ownership
 from spoolcrank.epochs import claim_of, next_claim, next_interim
-from spoolcrank.ids import (
-    Epoch,
-    InstanceId,
-)
+from spoolcrank.ids import Epoch, InstanceId
 from spoolcrank.ledger import Claim
 from spoolcrank.owned_server import Append, OwnedServer, Phase
 from spoolcrank.records import Claimed
 from spoolcrank.state import Core, CoreAction, Handover, LogEvent, Relinquished
 
 _CLAIM_RETRY_S = 3.0
+# Time without the log before a vacant server is owned in interim.
 _INTERIM_DELAY_S = 1.0
+# Time after a handover before a server that no live peer owns is claimed again.
 _RECLAIM_DELAY_S = 2.0
 _HANDOVER_INTERVAL_S = 0.5
+# Time for which we own a server before we hand it over to the preferred owner.
 _MIN_OWNED_S = 2.0
+# Inherited slots while the previous owner's requests are not known: more than any runner has.
 _ALL_SLOTS_BUSY = 1 << 20
 
 
@@ -57,18 +58,18 @@
 def _own(
     core: Core, server: InstanceId, epoch: Epoch, now: float, previous: OwnedServer | None
 ) -> None:
-    renewed = OwnedServer(server, core.members.incarnation, epoch, now)
-    renewed.inherited_until = now + core.policy.routing.deadline_ms / 1000
-    renewed.inherited_slots = _ALL_SLOTS_BUSY
+    owned = OwnedServer(server, core.members.incarnation, epoch, now)
+    owned.inherited_until = now + core.policy.routing.deadline_ms / 1000
+    owned.inherited_slots = _ALL_SLOTS_BUSY
     if previous is not None:
-        renewed.contacted_at = previous.contacted_at
-        renewed.last_renew_at = previous.last_renew_at
-        renewed.report = previous.report
-        renewed.placing = previous.placing
-        renewed.inherited_until = previous.inherited_until
-        renewed.inherited_slots = previous.inherited_slots
-        renewed.runner_use = previous.runner_use
-    core.owned[server] = renewed
+        owned.contacted_at = previous.contacted_at
+        owned.last_renew_at = previous.last_renew_at
+        owned.report = previous.report
+        owned.placing = previous.placing
+        owned.inherited_until = previous.inherited_until
+        owned.inherited_slots = previous.inherited_slots
+        owned.runner_use = previous.runner_use
+    core.owned[server] = owned
     core.relinquished.pop(server, None)
 
 
--- a/spoolcrank/placement.py
+++ b/spoolcrank/placement.py
@@ -26,7 +26,7 @@
     """The capacity and state of one server on which tasks may be placed.
 
     Attributes:
-        free: Capacity less everything that is allocated or reserved for the runner.
+        free: Capacity less what is allocated to tasks or reserved for the runner.
         whole: Capacity less what is reserved for the runner.
         suspect: Whether far more attempts fail on the server than on its peers.
         probe: Whether one repeatable task may be placed on a suspect server now, as a probe.
@@ -106,8 +106,11 @@
     return sorted(eligible, key=lambda owner: weight(task, owner), reverse=True)
 
 
-def may_take(order: list[InstanceId], me: InstanceId, waited_s: float, policy: Policy) -> bool:
-    """Return whether a task has waited long enough for our rank among the owners."""
+def may_place_now(order: list[InstanceId], me: InstanceId, waited_s: float, policy: Policy) -> bool:
+    """Return whether a task has waited long enough for us to place it.
+
+    Each owner before us in `order` has `next_owner_s` to place the task first.
+    """
     rank = order.index(me) if me in order else len(order)
     return waited_s >= rank * policy.placement.next_owner_s
 
@@ -168,8 +171,8 @@
 
 def sheltered_count(servers: int, policy: Policy) -> int:
     """Return how many of a zone's servers of a service are sheltered; never all of them."""
-    wanted = math.ceil(servers * policy.interference.sheltered_share)
-    return max(0, min(wanted, servers - 1))
+    count = math.ceil(servers * policy.interference.sheltered_share)
+    return max(0, min(count, servers - 1))
 
 
 def _may_host(
@@ -224,20 +227,20 @@
 def never_fits(spec: JobSpec, instances: list[Instance], policy: Policy) -> str:
     """Return why a job fits on no instance, naming the instances that come closest.
 
-    Return '' if it fits on one, or if there are no instances. The limit is what `choose` allows
-    the job on an empty server: a job accepted by a higher limit would wait forever.
+    Return an empty string if it fits on one, or if there are no instances. The limit is what
+    `choose` allows the job on an empty server: a job accepted by a higher limit would wait forever.
     """
     size = spec.size.resources
     if not instances:
         return ""
     if any(size.fits_in(max_capacity(instance, spec, policy)) for instance in instances):
         return ""
-    misses = sorted(
+    by_shortfall = sorted(
         instances,
-        key=lambda backend: (_missing(size, max_capacity(backend, spec, policy)), backend.id),
+        key=lambda backend: (_shortfall(size, max_capacity(backend, spec, policy)), backend.id),
     )
-    nearest = misses[:_MAX_NEAREST_SHOWN]
-    shown = "; ".join(_describe_miss(instance, policy) for instance in nearest)
+    nearest = by_shortfall[:_MAX_NEAREST_SHOWN]
+    shown = "; ".join(_describe_capacity(instance, policy) for instance in nearest)
     asked = f"{size.processors:g} processors, {size.memory_mb:g} MB"
     reserved = _reserve(spec, policy)
     urgent = f", of which {reserved:.0%} is reserved for urgent work" if reserved else ""
@@ -246,7 +249,7 @@
     )
 
 
-def _missing(size: Resources, capacity: Resources) -> float:
+def _shortfall(size: Resources, capacity: Resources) -> float:
     lacks = size.minus(capacity)
     return (
         max(0.0, lacks.processors) / max(1.0, size.processors)
@@ -255,7 +258,7 @@
     )
 
 
-def _describe_miss(instance: Instance, policy: Policy) -> str:
+def _describe_capacity(instance: Instance, policy: Policy) -> str:
     busy = usable(instance, instance.slots, policy)
     idle = usable(instance, min(SPARE_SLOTS, instance.slots), policy)
     beside = f" beside a busy runner, {idle.processors:g} beside an idle one" * (idle != busy)
--- a/spoolcrank/policy.py
+++ b/spoolcrank/policy.py
@@ -157,7 +157,7 @@
         4.0, ge=0, le=1000, description="maximum evictions per minute and owner"
     )
     forget_s: float = Field(
-        300.0, ge=1, le=86_400, description="half-life of what is learned of a pair, s"
+        300.0, ge=1, le=86_400, description="half-life of a learned slowdown, s"
     )
     sheltered_share: float = Field(
         0.34, ge=0, le=1, description="share of a zone's runners reserved for quiet work"
@@ -172,7 +172,7 @@
         0.004,
         ge=0,
         le=1,
-        description="slow requests of one server, as a share of the service's requests",
+        description="share of a service's requests that must be slow on one server for mitigation",
     )
 
 
--- a/spoolcrank/published_config.py
+++ b/spoolcrank/published_config.py
@@ -26,7 +26,7 @@
         self.history: list[Change] = []
 
     def apply_entry(self, entry: ConfigEntry) -> bool:
-        """Apply a record of the config stream and return whether it is now in force.
+        """Apply a record of the config stream; return whether its configuration is now in force.
 
         A record has no effect if its version is not newer. It is rejected if its `if_version` is
         not the version in force, or if the configuration is invalid.
@@ -38,11 +38,11 @@
         valid = not stale and policy.is_valid(record.toml)
         detail = "in force"
         if stale:
-            winner = self.history[-1].command if self.history else "an earlier change"
-            detail = f"made from version {record.if_version}, beaten by {winner}"
+            last_command = self.history[-1].command if self.history else "an earlier change"
+            detail = f"made from version {record.if_version}, beaten by {last_command}"
             detail += f", version {self.version}"
         elif not valid:
-            detail = "does not pass the check"
+            detail = "the configuration is invalid"
         self.history.append(
             Change(entry.version, record.command, record.by or "operator", valid, detail)
         )
--- a/spoolcrank/records.py
+++ b/spoolcrank/records.py
@@ -50,7 +50,7 @@
 
 
 class JobRefused(_Base):
-    """A job that fits on no instance is refused."""
+    """A job that fits on no instance, or whose deadline passed while it waited, is refused."""
 
     kind: Literal["refuse"] = "refuse"
     job: JobId
@@ -80,7 +80,7 @@
 
 
 class Ended(_Base):
-    """The end of an attempt, as reported in the server's list of ended attempts.
+    """The end of an attempt, as reported by its server or concluded by the server's owner.
 
     `how` is one of finished, failed, evicted, stopped, lapsed, refused and lost. `crash` is set
     if the attempt was lost because its server crashed.
--- a/spoolcrank/replay.py
+++ b/spoolcrank/replay.py
@@ -143,7 +143,7 @@
 def service_rates(core: Core) -> dict[str, float]:
     """Return the request rate of every service of a listed instance, by service name.
 
-    A trace stores them with each tick, because the core may use any of them there.
+    A trace stores them with each tick, because any decision of the core may depend on them.
     """
     services = {instance.service for instance in core.members.listed.values() if instance.service}
     return {str(name): core.service_rate(ServiceName(name)) for name in sorted(services)}
--- a/spoolcrank/server_commands.py
+++ b/spoolcrank/server_commands.py
@@ -46,7 +46,7 @@
 
 
 def start(owned: OwnedServer, ledger: Ledger, task: Task, policy: Policy, now: float) -> Send:
-    """Build the command that starts the attempt bound to a server, and record its time."""
+    """Build the command that starts the attempt bound to a server, and record when it was sent."""
     spec = ledger.spec(task)
     owned.starts[task.id] = now
     command = Start(
--- a/spoolcrank/state.py
+++ b/spoolcrank/state.py
@@ -22,6 +22,7 @@
 from spoolcrank.resources import NO_RESOURCES, Resources
 from spoolcrank.slot_use import reserved_slots
 
+# Age of the last read to the log's end above which the log counts as unavailable.
 _LOG_TIMEOUT_S = 4.0
 
 
@@ -56,7 +57,23 @@
 
 @dataclass
 class Core:
-    """The state of one entry instance's decisions; times are monotonic, in seconds."""
+    """The state of one entry instance's decisions; times are monotonic, in seconds.
+
+    Attributes:
+        owned: The servers that we command.
+        relinquished: The servers that we stopped commanding and have not owned again since.
+        log_ok_at: When the last request was sent that read the log to its end.
+        acting: Whether we may command our servers, as found at the last tick.
+        first_seen: When we first saw each waiting task.
+        claims_sent: When we last appended a claim of each server.
+        refusals_sent: When we appended the refusal of each job.
+        obstacles: Why each waiting task could not be placed when it was last considered.
+        passed_over: Tasks that earlier passes could not place; cleared once a pass reaches the end
+            of the queue.
+        owned_elsewhere_at: When a peer last reported each server as its own.
+        service_rate: Returns the requests per second to a service.
+        busy_slots: Returns the number of requests that a server's runner is serving.
+    """
 
     members: Members
     policy: Policy = DEFAULT
--- a/spoolcrank/trace.py
+++ b/spoolcrank/trace.py
@@ -57,7 +57,7 @@
     def _write(self, line: dict[str, Any]) -> None:
         self._file.write(json.dumps(line) + "\n")
 
-    def note(
+    def record_input(
         self, now: float, trace_input: dict[str, Any], actions: Iterable[CoreAction] = ()
     ) -> None:
         """Write one input and the decisions that the core made on it."""
