--- a/spoolcrank/_dialer.py
+++ b/spoolcrank/_dialer.py
@@ -18,8 +18,8 @@
 """Time without an acknowledgement of sent bytes before a connection is closed, in milliseconds.
 
 Peers write several times a second on a connection and read nothing from it, so only this timeout
-shows them that the other side is silent. It is six times the queueing delay at which the platform
-calls a link choked."""
+shows them that the other side is silent. It is six times the queueing delay from which the
+platform treats a link as congested."""
 
 _READ_BYTES = 65536
 _CONNECT_STARTED = (0, errno.EINPROGRESS, errno.EWOULDBLOCK)
@@ -168,7 +168,7 @@
         return not conn.closed
 
     @handler("_disconnect", "_error")
-    def _on_broken(self, sock: socket.socket, *reason: object) -> None:
+    def _on_socket_error(self, sock: socket.socket, *reason: object) -> None:
         conn = self._conns.get(sock)
         if conn is not None:
             self._fail(conn, "connection broken")
--- a/spoolcrank/_http.py
+++ b/spoolcrank/_http.py
@@ -160,8 +160,8 @@
         parser = self._parser
         headers = {str(name).lower(): str(value) for name, value in parser.get_headers().items()}
         body = parser.recv_body()
-        expected = headers.get("content-length")
-        if expected is not None and expected != str(len(body)):
+        content_length = headers.get("content-length")
+        if content_length is not None and content_length != str(len(body)):
             self._finish(HttpResult(CallFailure.GARBLED), keep=False)
             return
         result = HttpResult(None, parser.get_status_code(), headers, body, peer=self.peer)
--- a/spoolcrank/_standin_worker.py
+++ b/spoolcrank/_standin_worker.py
@@ -32,6 +32,7 @@
 """Work of a task that never finishes by itself, seconds."""
 
 _MIN_SPEED = 0.05
+"""Minimum speed of the tasks, however overloaded the worker is, relative to the standard kind."""
 
 
 class Run(NamedTuple):
@@ -186,15 +187,17 @@
         if attempt is not None and attempt.start.attempt == cmd.attempt:
             attempt.throttle = max(0.0, min(1.0, cmd.share))
 
-    def _end(self, task: TaskId, number: int, how: str, now: float, reason: str = "") -> None:
+    def _end(
+        self, task: TaskId, attempt_number: int, how: str, now: float, reason: str = ""
+    ) -> None:
         attempt = self.running.get(task)
-        if attempt is None or attempt.start.attempt != number:
+        if attempt is None or attempt.start.attempt != attempt_number:
             return
         del self.running[task]
         has_checkpoint = how in ("evicted", "lapsed")
         self.ended[task] = EndedTask(
             task=task,
-            attempt=number,
+            attempt=attempt_number,
             how=how,
             checkpoint={"work_done_s": attempt.done_s} if has_checkpoint else None,
             reason=reason,
--- a/spoolcrank/_web.py
+++ b/spoolcrank/_web.py
@@ -25,7 +25,7 @@
 MAX_HEAD_BYTES = 16 << 10
 PARTIAL_REQUEST_TIMEOUT_S = 10.0
 _PARTIAL_REQUEST_CHECK_S = 1.0
-_LENGTH_MAX_DIGITS = 12
+_MAX_LENGTH_DIGITS = 12
 JSON_TYPE = "application/json"
 
 
@@ -59,7 +59,7 @@
     body: bytes
 
 
-class Unsent(NamedTuple):
+class UnsentAnswer(NamedTuple):
     """Answer that is not yet completely passed to the kernel.
 
     Attributes:
@@ -139,7 +139,7 @@
         self._answer = answer
         self._timers = timers
         self._incoming: dict[socket.socket, _Incoming] = {}
-        self._sending: dict[socket.socket, Unsent] = {}
+        self._sending: dict[socket.socket, UnsentAnswer] = {}
         self._close_after_answers = False
         self.server: WebSockets = WebSockets(bind, self.channel).register(self)
         self.http = HTTP(self, channel=self.channel).register(self)
@@ -161,7 +161,7 @@
         return sum(1 for incoming in self._incoming.values() if incoming.busy) + len(self._sending)
 
     @property
-    def unsent(self) -> list[Unsent]:
+    def unsent(self) -> list[UnsentAnswer]:
         """Return the answers that are not yet completely passed to the kernel."""
         return list(self._sending.values())
 
@@ -171,7 +171,7 @@
         return len(self.server.connections)
 
     @property
-    def half_sent(self) -> int:
+    def partly_received(self) -> int:
         """Return how many connections hold a partly received request."""
         return sum(1 for incoming in self._incoming.values() if incoming.size and not incoming.busy)
 
@@ -250,7 +250,7 @@
         head += [f"{name}: {value}" for name, value in reply.headers.items()]
         head.append(f"Content-Length: {len(reply.body)}")
         self._incoming[sock].size = 0
-        self._sending[sock] = Unsent("", "", self._incoming[sock].since)
+        self._sending[sock] = UnsentAnswer("", "", self._incoming[sock].since)
         self.fire(write(sock, "\r\n".join(head).encode() + b"\r\n\r\n" + reply.body))
         self.fire(close(sock))
 
@@ -292,7 +292,7 @@
         for name, value in answer.headers.items():
             res.headers[name] = value
         res.body = answer.body
-        self._sending[sock] = Unsent(res.request.method, res.request.path, incoming.since)
+        self._sending[sock] = UnsentAnswer(res.request.method, res.request.path, incoming.since)
         self.fire(response(res))
         incoming.busy = False
         incoming.size = 0
@@ -313,7 +313,7 @@
         incoming = self._incoming.get(req.sock)
         if incoming is not None:
             incoming.busy = False
-            self._sending[req.sock] = Unsent(req.method or "", req.path or "", incoming.since)
+            self._sending[req.sock] = UnsentAnswer(req.method or "", req.path or "", incoming.since)
         for name, value in answer.headers.items():
             res.headers[name] = value
         res.status = answer.status
@@ -375,7 +375,7 @@
     if len(lengths) > 1 or chunked:
         return Refusal(ErrorKind.BAD_REQUEST, "the body's length is ambiguous", "content-length")
     length = lengths.pop()
-    if not length.isdigit() or len(length) > _LENGTH_MAX_DIGITS:
+    if not length.isdigit() or len(length) > _MAX_LENGTH_DIGITS:
         return Refusal(ErrorKind.BAD_REQUEST, "the body's length is not a number", "content-length")
     if int(length) > MAX_BODY_BYTES:
         return Refusal(
--- a/spoolcrank/_web_sockets.py
+++ b/spoolcrank/_web_sockets.py
@@ -67,7 +67,7 @@
         failure = ""
         while True:
             try:
-                waiting, _ = self._sock.accept()
+                client, _ = self._sock.accept()
             except BlockingIOError:
                 break
             except ConnectionAbortedError:
@@ -75,7 +75,7 @@
             except OSError as exc:
                 failure = str(exc)
                 break
-            self._on_accept_done(waiting)
+            self._on_accept_done(client)
             count += 1
         self._poller.discard(self._sock)
         self._sock.close()
--- a/spoolcrank/_wire.py
+++ b/spoolcrank/_wire.py
@@ -121,22 +121,22 @@
     return _LENGTH_PREFIX.pack(len(raw)) + raw
 
 
-def _from_heartbeat(heartbeat_message: Heartbeat) -> Any:
-    fields = heartbeat_message._asdict()
+def _from_heartbeat(heartbeat: Heartbeat) -> Any:
+    fields = heartbeat._asdict()
     fields["servers"] = [
         _SCHEMA.Server(
-            server=server_status.server,
-            epoch=server_status.epoch,
-            free_slots=server_status.free_slots,
-            processors=server_status.free.processors,
-            memory_mb=server_status.free.memory_mb,
-            accelerators=server_status.free.accelerators,
-            ready=server_status.ready,
-            latency_s=server_status.latency_s,
+            server=status.server,
+            epoch=status.epoch,
+            free_slots=status.free_slots,
+            processors=status.free.processors,
+            memory_mb=status.free.memory_mb,
+            accelerators=status.free.accelerators,
+            ready=status.ready,
+            latency_s=status.latency_s,
         )
-        for server_status in heartbeat_message.servers
+        for status in heartbeat.servers
     ]
-    fields["echoes"] = [_SCHEMA.Echo(**echo._asdict()) for echo in heartbeat_message.echoes]
+    fields["echoes"] = [_SCHEMA.Echo(**echo._asdict()) for echo in heartbeat.echoes]
     return _SCHEMA.Heartbeat(**fields)
 
 
@@ -168,11 +168,11 @@
     if envelope.forwarded is not None:
         return _to_forwarded(envelope.forwarded)
     if envelope.handover is not None:
-        handover_message = envelope.handover
+        handover = envelope.handover
         return HandoverMessage(
-            InstanceId(handover_message.server),
-            Epoch(handover_message.epoch),
-            handover_message.busy,
+            InstanceId(handover.server),
+            Epoch(handover.epoch),
+            handover.busy,
         )
     if envelope.query is not None:
         return Query(envelope.query.number, envelope.query.what, envelope.query.text)
--- a/spoolcrank/callers.py
+++ b/spoolcrank/callers.py
@@ -40,7 +40,7 @@
 
 TICK_S = 0.02
 _GRACE_S = 10.0  # time after the deadline during which a runner's answer is still awaited
-_PEER_MARGIN_S = 0.25  # a fifth of it is subtracted from the time left to a forwarded request
+_PEER_MARGIN_S = 0.25  # a forwarded request gets a fifth of this less than the time left
 _RATE_SMOOTHING = 0.3
 
 
@@ -97,8 +97,8 @@
     def _update_estimates(self) -> None:
         known_runners.decay_latencies(self.router, time.monotonic())
         for service in set(self._rates) | set(self._arrivals):
-            known = self._rates.get(service, 0.0)
-            self._rates[service] = known + _RATE_SMOOTHING * (self._arrivals[service] - known)
+            rate = self._rates.get(service, 0.0)
+            self._rates[service] = rate + _RATE_SMOOTHING * (self._arrivals[service] - rate)
         self._arrivals.clear()
 
     def _busy_slots(self, server: InstanceId) -> int:
@@ -301,8 +301,8 @@
             for status in heartbeat.servers:
                 instance = self._core.members.listed.get(status.server)
                 if instance is not None and instance.service:
-                    known = free.setdefault(instance.service, [])
-                    known.append(FreeSlots(status.free_slots, status.latency_s))
+                    slots = free.setdefault(instance.service, [])
+                    slots.append(FreeSlots(status.free_slots, status.latency_s))
         known_runners.on_peer_slots(
             self.router, heartbeat.sender, heartbeat.zone, free, time.monotonic()
         )
--- a/spoolcrank/cli.py
+++ b/spoolcrank/cli.py
@@ -45,14 +45,21 @@
     listen: Listen,
     peer_listen: Annotated[str, typer.Option(envvar="SPOOLCRANK_PEER_LISTEN")],
     log: Annotated[str, typer.Option(envvar="SPOOLCRANK_LOG", help="URL of the log")],
-    instances: Annotated[str, typer.Option(envvar="SPOOLCRANK_INSTANCES", help="URL of the list")],
+    instances: Annotated[
+        str, typer.Option(envvar="SPOOLCRANK_INSTANCES", help="URL of the instance list")
+    ],
     statsd: Annotated[str | None, typer.Option(envvar="SPOOLCRANK_STATSD")] = None,
-    log_file: Annotated[str, typer.Option(envvar="SPOOLCRANK_LOG_FILE", help="- is stderr")] = "-",
+    log_file: Annotated[
+        str, typer.Option(envvar="SPOOLCRANK_LOG_FILE", help="log file, - for stderr")
+    ] = "-",
     trace_file: Annotated[
         str, typer.Option(envvar="SPOOLCRANK_TRACE_FILE", help="file for a trace of the decisions")
     ] = "",
     linger_s: Annotated[
-        float, typer.Option(envvar="SPOOLCRANK_LINGER_S", help="seconds to serve on when stopping")
+        float,
+        typer.Option(
+            envvar="SPOOLCRANK_LINGER_S", help="seconds to accept connections after a stop signal"
+        ),
     ] = 2.0,
 ) -> None:
     """Run an entry instance."""
@@ -152,14 +159,20 @@
 
 @app.command("load")
 def load_command(
-    entry: Annotated[list[str], typer.Option(envvar="SPOOLCRANK_ENTRY", help="URL; repeat it")],
-    rate: Annotated[float, typer.Option(envvar="SPOOLCRANK_RATE", help="requests a second")] = 50.0,
+    entry: Annotated[
+        list[str], typer.Option(envvar="SPOOLCRANK_ENTRY", help="URL; may be repeated")
+    ],
+    rate: Annotated[
+        float, typer.Option(envvar="SPOOLCRANK_RATE", help="requests per second")
+    ] = 50.0,
     duration: Annotated[float, typer.Option(envvar="SPOOLCRANK_DURATION", help="seconds")] = 10.0,
     service: Annotated[str, typer.Option(envvar="SPOOLCRANK_SERVICE")] = "quotes",
     deadline_ms: Annotated[float, typer.Option(envvar="SPOOLCRANK_DEADLINE_MS")] = 2000.0,
     keyed_share: Annotated[float, typer.Option(envvar="SPOOLCRANK_KEYED_SHARE")] = 0.0,
     urgent_share: Annotated[float, typer.Option(envvar="SPOOLCRANK_URGENT_SHARE")] = 0.2,
-    job_rate: Annotated[float, typer.Option(envvar="SPOOLCRANK_JOB_RATE", help="a second")] = 0.0,
+    job_rate: Annotated[
+        float, typer.Option(envvar="SPOOLCRANK_JOB_RATE", help="jobs per second")
+    ] = 0.0,
     job: Annotated[str, typer.Option(envvar="SPOOLCRANK_JOB", help="job file, TOML")] = "",
     seed: Annotated[int, typer.Option(envvar="SPOOLCRANK_SEED")] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
@@ -230,7 +243,7 @@
 @app.command("why")
 def why_command(
     wanted: Annotated[str, typer.Argument(metavar="ID", help="a job, a request's path, a runner")],
-    logs: Annotated[list[Path], typer.Option(help="log file of an instance; repeat it")],
+    logs: Annotated[list[Path], typer.Option(help="log file of an instance; may be repeated")],
 ) -> None:
     """Show the log lines about a job, request or runner in time order; exit with 1 if none."""
     texts = [line for path in logs for line in path.read_text(encoding="utf-8").splitlines()]
--- a/spoolcrank/ctl.py
+++ b/spoolcrank/ctl.py
@@ -13,7 +13,7 @@
 from spoolcrank.errors import ErrorKind, Refusal, SpoolcrankError
 from spoolcrank.ids import unique
 
-TIMEOUT_S = 15.0
+REQUEST_TIMEOUT_S = 15.0
 _SUCCESS_STATUSES = range(200, 300)
 
 
@@ -25,7 +25,7 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the command succeeded, which is any status from 200 to 299."""
+        """Return whether the status, from 200 to 299, says that the command succeeded."""
         return self.status in _SUCCESS_STATUSES
 
 
@@ -35,7 +35,7 @@
     Raises SpoolcrankError if the instance does not answer with JSON.
     """
     host, port = split_address(address_of_url(url))
-    conn = HTTPConnection(host, port, timeout=TIMEOUT_S)
+    conn = HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
     try:
         conn.request(method, path, body, headers)
         res = conn.getresponse()
--- a/spoolcrank/decoding.py
+++ b/spoolcrank/decoding.py
@@ -19,10 +19,10 @@
 def raises_unreadable(decode: Callable[Params, Value]) -> Callable[Params, Value]:
     """Wrap a decoder so that it raises Unreadable for every kind of malformed value."""
 
-    def read(*args: Params.args, **kwargs: Params.kwargs) -> Value:
+    def decode_or_raise(*args: Params.args, **kwargs: Params.kwargs) -> Value:
         try:
             return decode(*args, **kwargs)
         except _MALFORMED as exc:
             raise Unreadable(f"{type(exc).__name__}: {exc}") from exc
 
-    return read
+    return decode_or_raise
--- a/spoolcrank/entry.py
+++ b/spoolcrank/entry.py
@@ -11,7 +11,7 @@
 from spoolcrank.errors import ErrorKind, Refusal
 from spoolcrank.ids import Incarnation, unique
 from spoolcrank.instance_poller import InstancePoller
-from spoolcrank.jobs_api import JobsApi, respond_not_found
+from spoolcrank.jobs_api import JobsApi, not_found_reply
 from spoolcrank.log_link import LogLink
 from spoolcrank.membership import Members
 from spoolcrank.metrics import Metrics
@@ -91,7 +91,7 @@
         elif req.path == "/metrics":
             reply(json_reply(200, self.metrics.snapshot()))
         else:
-            reply(respond_not_found(req.path))
+            reply(not_found_reply(req.path))
 
     def _answer_ready(self, reply: Reply) -> None:
         reason = self.controller.not_ready_reason()
--- a/spoolcrank/instance_stop.py
+++ b/spoolcrank/instance_stop.py
@@ -5,7 +5,7 @@
 from spoolcrank._timers import Timers
 from spoolcrank._web import WebServer
 from spoolcrank.job_intake import JobIntake
-from spoolcrank.open_requests import OpenRequests, given_up, log_given_up
+from spoolcrank.open_requests import OpenRequests, abandoned_requests, log_given_up
 from spoolcrank.planned_stop import RemainingWork, StopState, StopTimes, next_state
 from spoolcrank.telemetry import Telemetry
 
@@ -16,7 +16,7 @@
 class InstanceStop:
     """One planned stop of an instance.
 
-    Attributes:
+    Args:
         times: latest end of each state.
         web: server of the address that clients use.
         intake: passes the clients' jobs, queries and cancellations to the store.
@@ -86,7 +86,7 @@
 
     def _end(self) -> None:
         now = self._clock()
-        requests = given_up(self._open_requests, self._web.unsent)
+        requests = abandoned_requests(self._open_requests, self._web.unsent)
         log_given_up(requests, self._started_at, now, self._telemetry.log)
         self._log("stop")
         self._telemetry.flush()
@@ -99,7 +99,7 @@
             after_s=round(self._clock() - self._started_at, 2),
             unanswered=self._web.unanswered,
             connections=self._web.connections,
-            half_sent=self._web.half_sent,
+            half_sent=self._web.partly_received,
             leads=self._is_leader(),
             **fields,
         )
--- a/spoolcrank/invariants.py
+++ b/spoolcrank/invariants.py
@@ -10,7 +10,7 @@
 Journal = dict[str, Any]
 
 _OVERLAP_TOLERANCE_S = 0.001
-"""Overlap of two runs of one task that is still accepted as consecutive, seconds."""
+"""Maximum overlap with which two runs of one task still count as consecutive, seconds."""
 
 
 class Breach(NamedTuple):
@@ -40,9 +40,9 @@
         *_overcommits(journals),
         *_overlaps(journals),
         *_repeats(journals, set(lost_tasks)),
-        *_once_only(journals, unrepeatable_jobs),
-        *_slots(journals),
-        *_answers(journals, results),
+        *_forbidden_repeats(journals, unrepeatable_jobs),
+        *_exceeded_slots(journals),
+        *_wrong_answers(journals, results),
     ]
 
 
@@ -101,7 +101,7 @@
     return breaches
 
 
-def _once_only(journals: list[Journal], jobs: Iterable[str]) -> list[Breach]:
+def _forbidden_repeats(journals: list[Journal], jobs: Iterable[str]) -> list[Breach]:
     breaches = []
     unrepeatable_jobs = set(jobs)
     for task, runs in _runs(journals).items():
@@ -114,7 +114,7 @@
     return breaches
 
 
-def _slots(journals: list[Journal]) -> list[Breach]:
+def _exceeded_slots(journals: list[Journal]) -> list[Breach]:
     return [
         Breach("capacity", f"{journal['instance']}: {journal['runner_peak']} concurrent requests")
         for journal in journals
@@ -122,7 +122,7 @@
     ]
 
 
-def _answers(journals: list[Journal], results: list[RequestResult]) -> list[Breach]:
+def _wrong_answers(journals: list[Journal], results: list[RequestResult]) -> list[Breach]:
     run_counts = Counter(req["request_id"] for journal in journals for req in journal["requests"])
     key_counts = Counter(
         req["key"] for journal in journals for req in journal["requests"] if req["key"]
--- a/spoolcrank/job_index.py
+++ b/spoolcrank/job_index.py
@@ -6,7 +6,7 @@
 from spoolcrank.decoding import Unreadable
 from spoolcrank.ids import JobId
 from spoolcrank.keyed_log import KeyedRecord, RecordKind, job_of_key, kind_of
-from spoolcrank.workflow import FINAL, JobPhase, RouteName, decode_job, stored_phase
+from spoolcrank.workflow import FINAL, JobPhase, RouteName, decode_job, decode_phase
 
 
 def _ignore_unreadable(record: KeyedRecord, why: str) -> None:
@@ -74,6 +74,6 @@
     if kind is RecordKind.JOB:
         status.route = decode_job(value).route
     elif kind is RecordKind.PROGRESS:
-        status.phase = stored_phase(value)
+        status.phase = decode_phase(value)
     else:
         status.cancelled = True
--- a/spoolcrank/job_times.py
+++ b/spoolcrank/job_times.py
@@ -137,8 +137,8 @@
 def _record_line(jobs: dict[JobId, _Job], line: Line) -> None:
     fields = line.fields
     if "task" in fields or "step" in fields:
-        for single in split_by_task(line.fields):
-            _record_task_line(jobs, _at_decision_time(line, single))
+        for task_fields in split_by_task(line.fields):
+            _record_task_line(jobs, _at_decision_time(line, task_fields))
         return
     if "job" not in fields:
         return
@@ -202,7 +202,7 @@
         _add_wait(seconds, Cause.PLACE, last_at, until, leaderless)
         until = last_at
     while key is not None:
-        ready_at, predecessor = _ready(job, key)
+        ready_at, predecessor = _ready_since(job, key)
         until = _add_task(job, key, ready_at, until, seconds, leaderless)
         key = predecessor
     _add_wait(seconds, Cause.INTAKE, job.accepted_at, until, leaderless)
@@ -216,7 +216,7 @@
     return max(ends)[1] if ends else None
 
 
-def _ready(job: _Job, key: TaskKey) -> tuple[float, TaskKey | None]:
+def _ready_since(job: _Job, key: TaskKey) -> tuple[float, TaskKey | None]:
     """Return when a task became ready to run, and the task whose end it had waited for."""
     predecessor = _last_task(job, job.after[key.step]) if key.step < len(job.after) else None
     if predecessor is None:
@@ -270,13 +270,14 @@
 
 def _paced_time(paces: list[tuple[float, float]], since: float, until: float) -> float:
     """Return the length of a span, weighted by the pace of each part of it."""
+    # 2.0 is above every pace, so a pace that was set exactly at `since` is found too.
     first = max(0, bisect_right(paces, (since, 2.0)) - 1)
-    total = 0.0
+    total_s = 0.0
     for number in range(first, len(paces)):
         begin, pace = paces[number]
         end = paces[number + 1][0] if number + 1 < len(paces) else until
-        total += pace * max(0.0, min(end, until) - max(begin, since))
-    return total
+        total_s += pace * max(0.0, min(end, until) - max(begin, since))
+    return total_s
 
 
 def _add_wait(
--- a/spoolcrank/jobs_api.py
+++ b/spoolcrank/jobs_api.py
@@ -19,8 +19,12 @@
 from spoolcrank.records import AnyRecord, JobAccepted, JobsCancelled
 
 CONFIRM_TIMEOUT_S = 5.0
+"""Time limit for an appended record to be applied, in seconds; then its request is refused."""
+
 _LOOKUP_RETRY_S = 0.3
-_ACCEPTED = 202
+"""Delay before a job that is not in the ledger is looked up once more, in seconds."""
+
+_HTTP_ACCEPTED = 202
 
 
 class JobsApi:
@@ -68,13 +72,13 @@
         """Accept a job; a repeated key returns the job of the first request with that key."""
         job = JobId(f"job-{xxhash.xxh64_hexdigest(key.encode())}" if key else unique("job"))
         if job in self._ledger.jobs:
-            reply(json_reply(_ACCEPTED, {"id": job}))
+            reply(json_reply(_HTTP_ACCEPTED, {"id": job}))
             return
 
         def on_applied() -> None:
             self._metrics.incr("jobs.accepted")
             log("job.accepted", job=job, job_name=spec.name, tasks=spec.tasks)
-            reply(json_reply(_ACCEPTED, {"id": job}))
+            reply(json_reply(_HTTP_ACCEPTED, {"id": job}))
 
         self.record(JobAccepted(job=job, spec=spec), on_applied, reply)
 
@@ -180,6 +184,6 @@
     return shown
 
 
-def respond_not_found(path: str) -> HttpReply:
+def not_found_reply(path: str) -> HttpReply:
     """Return the answer for a path that does not exist."""
     return refusal_reply(Refusal(ErrorKind.NO_SUCH_PATH, f"no path {path!r}", "path"))
--- a/spoolcrank/keyed_log.py
+++ b/spoolcrank/keyed_log.py
@@ -31,7 +31,7 @@
 
 LEADER_ONLY_KINDS = frozenset({RecordKind.PROGRESS, RecordKind.LEARNED})
 """The kinds that only the leader writes. Each such record confirms a write from which the leader
-extends leases. If other instances did not count one, a successor would treat leases as expired up
+extends leases. If other instances did not count them, a successor would treat leases as expired up
 to one heartbeat too early."""
 
 _SINGLE_KEYS = frozenset({LEADER_KEY, LEARNED_KEY, OFFER_KEY})
--- a/spoolcrank/keyed_requests.py
+++ b/spoolcrank/keyed_requests.py
@@ -73,9 +73,9 @@
 
     def serve(self, request: Request, context: RequestContext, reply: Reply) -> None:
         """Run a request once its key is stored, or answer it from the key's first request."""
-        known = self._core.ledger.keys.get(context.key)
-        if known is not None and not _may_run_again(known):
-            self._repeat(known, request, context.key, reply)
+        stored_key = self._core.ledger.keys.get(context.key)
+        if stored_key is not None and not _may_run_again(stored_key):
+            self._repeat(stored_key, request, context.key, reply)
             return
         now = time.monotonic()
         if not self._core.log_status(now).log_ok:
@@ -98,8 +98,8 @@
         self._contexts[request.id] = context
 
     def _on_key_applied(self, request: Request, context: RequestContext, reply: Reply) -> None:
-        known = self._core.ledger.keys.get(context.key)
-        is_ours = known is not None and known.request == request.id
+        stored_key = self._core.ledger.keys.get(context.key)
+        is_ours = stored_key is not None and stored_key.request == request.id
         if request.id not in self._contexts:
             if is_ours:
                 self.record(context.key, request.id, Outcome.NOT_RUN, None)
@@ -107,38 +107,38 @@
         del self._contexts[request.id]
         if is_ours:
             self._submit(request, context)
-        elif known is not None:
-            self._repeat(known, request, context.key, reply)
+        elif stored_key is not None:
+            self._repeat(stored_key, request, context.key, reply)
         else:
             detail = "the key's record could not be stored"
             self._refuse(request.id, Refusal(ErrorKind.LOG_UNAVAILABLE, detail), reply)
 
-    def _repeat(self, known: Key, request: Request, key: str, reply: Reply) -> None:
+    def _repeat(self, stored_key: Key, request: Request, key: str, reply: Reply) -> None:
         """Answer a repeated request with the outcome of the first one, or let it wait for that."""
         now = time.monotonic()
-        kind = self._key_error(known)
+        kind = self._key_error(stored_key)
         if kind is ErrorKind.KEY_IN_PROGRESS and now < request.deadline:
             self._waiters.append(_Waiter(key, request.deadline, request.id, reply))
             return
         self._metrics.incr("requests.key-repeated")
-        done = known.done
+        done = stored_key.done
         if kind is not None or done is None:
             kind = kind or ErrorKind.KEY_OUTCOME_UNKNOWN
-            detail = f"the first request with this key was {known.request}"
+            detail = f"the first request with this key was {stored_key.request}"
             self._refuse(request.id, Refusal(kind, detail), reply)
         else:
-            headers = {REQUEST_ID_HEADER: known.request, "Content-Type": done.content_type}
+            headers = {REQUEST_ID_HEADER: stored_key.request, "Content-Type": done.content_type}
             reply(HttpReply(done.status, headers, (done.body or "").encode()))
 
-    def _key_error(self, known: Key) -> ErrorKind | None:
+    def _key_error(self, stored_key: Key) -> ErrorKind | None:
         alive = is_incarnation_alive(
             self._core.members,
-            known.holder,
-            known.incarnation,
+            stored_key.holder,
+            stored_key.incarnation,
             self._core.policy,
             time.monotonic(),
         )
-        return key_error(known, alive)
+        return key_error(stored_key, alive)
 
     def record(
         self, key: str, request: RequestId, outcome: Outcome, answer: HttpReply | None
@@ -157,15 +157,15 @@
         )
         self._controller.log_link.append(record)
 
-    def _finish_waiter(self, waiter: _Waiter, known: Key | None) -> None:
-        if known is None or _may_run_again(known):
+    def _finish_waiter(self, waiter: _Waiter, stored_key: Key | None) -> None:
+        if stored_key is None or _may_run_again(stored_key):
             detail = "the first request with this key was not run; send it again"
             self._refuse(
                 waiter.request, Refusal(ErrorKind.OVERLOADED, detail, "", 0.1), waiter.reply
             )
             return
         repeat = Request(waiter.request, ServiceName(""), 0, False, 0.0, 0.0)
-        self._repeat(known, repeat, waiter.key, waiter.reply)
+        self._repeat(stored_key, repeat, waiter.key, waiter.reply)
 
     def _expire(self, now: float) -> None:
         """Refuse keyed requests whose record is not applied by their deadline; they never run."""
@@ -182,11 +182,13 @@
     def tick(self, now: float) -> None:
         """Answer repeats whose first request has ended, and refuse requests past their deadline."""
         for waiter in list(self._waiters):
-            known = self._core.ledger.keys.get(waiter.key)
-            in_progress = known is not None and self._key_error(known) is ErrorKind.KEY_IN_PROGRESS
+            stored_key = self._core.ledger.keys.get(waiter.key)
+            in_progress = (
+                stored_key is not None and self._key_error(stored_key) is ErrorKind.KEY_IN_PROGRESS
+            )
             if not in_progress or now >= waiter.deadline:
                 self._waiters.remove(waiter)
-                self._finish_waiter(waiter, known)
+                self._finish_waiter(waiter, stored_key)
         self._expire(now)
 
 
--- a/spoolcrank/known_runners.py
+++ b/spoolcrank/known_runners.py
@@ -71,10 +71,12 @@
     router.typical_latency_s[runner.service] = typical_s + _SERVICE_SMOOTHING * (
         latency_s - typical_s
     )
-    tail = router.tail_latency_s.get(runner.service, latency_s)
-    step = 0.05 * max(tail, 1e-4)
-    router.tail_latency_s[runner.service] = tail + (
-        step * 0.95 if latency_s > tail else -step * 0.05
+    # The estimate converges to the 95th percentile: it moves up by 0.95 of a step or down by 0.05,
+    # and these balance where 5 % of the answers are slower.
+    tail_s = router.tail_latency_s.get(runner.service, latency_s)
+    step_s = 0.05 * max(tail_s, 1e-4)
+    router.tail_latency_s[runner.service] = tail_s + (
+        step_s * 0.95 if latency_s > tail_s else -step_s * 0.05
     )
 
 
@@ -85,8 +87,10 @@
     """
     for runner in router.runners.values():
         if now - runner.sampled_at > _DECAY_AFTER_S:
-            known = [peer.latency_s for peer in router.peers.get(runner.service, {}).values()]
+            peer_latencies_s = [
+                peer.latency_s for peer in router.peers.get(runner.service, {}).values()
+            ]
             typical_s = min(
-                [*known, router.typical_latency_s.get(runner.service, runner.latency_s)]
+                [*peer_latencies_s, router.typical_latency_s.get(runner.service, runner.latency_s)]
             )
             runner.latency_s += _DECAY_FACTOR * (typical_s - runner.latency_s)
--- a/spoolcrank/load.py
+++ b/spoolcrank/load.py
@@ -16,11 +16,11 @@
 from spoolcrank._runtime import address_of_url, split_address
 from spoolcrank.ids import unique
 
-_THREADS = 96
+_SENDER_THREADS = 96
 _MAX_LATENCY_US = 120_000_000
 _SIGNIFICANT_DIGITS = 3
 _PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-_TIMEOUT_S = 30.0
+_HTTP_TIMEOUT_S = 30.0
 HIGH_URGENCY = 9
 NORMAL_URGENCY = 3
 
@@ -58,6 +58,8 @@
         told: What the answer says about the request: `ran`, `not-run` or `unknown`.
         whole: Whether the answer is complete and belongs to this request; for a refusal, whether it
             has a request id.
+        at: Time at which the request was due to be sent, Unix seconds; `latency_s` is measured
+            from then, so that it includes the wait for a sender.
     """
 
     nonce: str
@@ -81,12 +83,12 @@
 
     @property
     def answered(self) -> list[RequestResult]:
-        """The results of the requests that the service answered."""
+        """Return the results of the requests that the service answered."""
         return [result for result in self.request_results if result.outcome == "ok"]
 
     @property
     def broken(self) -> list[RequestResult]:
-        """The results whose answer was incomplete or belonged to another request."""
+        """Return the results whose answer was incomplete or belonged to another request."""
         return [result for result in self.request_results if not result.whole]
 
     def percentiles(self, urgent: bool | None = None) -> dict[str, float]:
@@ -148,6 +150,7 @@
         if request.key:
             headers["Idempotency-Key"] = request.key
         outcome, run_status, request_id, whole = "no-connection", "unknown", "", True
+        # The instance may have closed a reused connection: then try again over a new one.
         for _ in range(2):
             conn, is_new = self._connection(request.entry)
             try:
@@ -183,7 +186,7 @@
         if conn is not None:
             return conn, False
         host, port = split_address(address_of_url(entry))
-        conn = HTTPConnection(host, port, timeout=_TIMEOUT_S)
+        conn = HTTPConnection(host, port, timeout=_HTTP_TIMEOUT_S)
         self._conns[entry] = conn
         return conn, True
 
@@ -221,7 +224,7 @@
     work: queue.Queue[_ScheduledRequest | None] = queue.Queue()
     threads = [
         threading.Thread(target=_Sender(plan, report, lock).run, args=(work,), daemon=True)
-        for _ in range(_THREADS)
+        for _ in range(_SENDER_THREADS)
     ]
     for thread in threads:
         thread.start()
@@ -271,7 +274,7 @@
 def submit_job(entry: str, job: dict[str, Any]) -> str:
     """Submit one job and return its id, or an empty string if it was not accepted."""
     host, port = split_address(address_of_url(entry))
-    conn = HTTPConnection(host, port, timeout=_TIMEOUT_S)
+    conn = HTTPConnection(host, port, timeout=_HTTP_TIMEOUT_S)
     try:
         conn.request("POST", "/jobs", json.dumps(job))
         res = conn.getresponse()
--- a/spoolcrank/log_follower.py
+++ b/spoolcrank/log_follower.py
@@ -88,7 +88,7 @@
         self._reading = False
         if self._refresh_after_read:
             self._refresh_after_read = False
-            self._answer_requests(False)
+            self._finish_refreshes(False)
 
     def refresh(self, done: RefreshHandler) -> None:
         """Read the log up to its present end; call `done` with whether that succeeded."""
@@ -167,13 +167,13 @@
         asked_at = self._clock()
         self._reading = True
 
-        def got(records: Records) -> None:
+        def on_answer(answer: Records) -> None:
             if generation == self._generation:
                 self._reading = False
-                self._on_read(records, asked_at)
-                self._start_joined_refresh(records.outcome)
+                self._on_read(answer, asked_at)
+                self._start_joined_refresh(answer.outcome)
 
-        self._log.read(self.copy.next_offset, READ_WAIT_MS, got)
+        self._log.read(self.copy.next_offset, READ_WAIT_MS, on_answer)
 
     def _start_joined_refresh(self, outcome: ReadOutcome) -> None:
         """Start a refresh that waited for a read, once that read has reached the end of the log."""
@@ -181,41 +181,41 @@
             return
         self._refresh_after_read = False
         if outcome is ReadOutcome.FAILED:
-            self._answer_requests(False)
+            self._finish_refreshes(False)
         else:
             self._start_refresh()
 
-    def _on_read(self, got: Records, asked_at: float) -> None:
+    def _on_read(self, answer: Records, asked_at: float) -> None:
         generation = self._generation
-        if not self._apply_read(got, asked_at):
+        if not self._apply_read(answer, asked_at):
             return
         if generation != self._generation:
             return
-        if got.outcome is ReadOutcome.FAILED:
+        if answer.outcome is ReadOutcome.FAILED:
             self._schedule(RETRY_DELAY_S, self._read)
-        elif got.records and got.end > self.copy.next_offset:
+        elif answer.records and answer.end > self.copy.next_offset:
             self._read()
         elif self.eager:
             self._schedule(EAGER_READ_DELAY_S, self._read)
         else:
-            self._schedule(LAZY_READ_DELAY_S if got.records else 0.0, self._read)
+            self._schedule(LAZY_READ_DELAY_S if answer.records else 0.0, self._read)
 
-    def _apply_read(self, got: Records, asked_at: float) -> bool:
+    def _apply_read(self, answer: Records, asked_at: float) -> bool:
         """Apply the result of a read and return whether the copy is still valid."""
-        self._update_contact(got.outcome is not ReadOutcome.FAILED, got.detail)
-        if got.outcome is ReadOutcome.EXPIRED or (
-            got.outcome is ReadOutcome.OK and got.end < self.copy.next_offset
+        self._update_contact(answer.outcome is not ReadOutcome.FAILED, answer.detail)
+        if answer.outcome is ReadOutcome.EXPIRED or (
+            answer.outcome is ReadOutcome.OK and answer.end < self.copy.next_offset
         ):
             self.begin()
             return False
-        if got.outcome is ReadOutcome.OK:
-            if len(got.records) > 1:
+        if answer.outcome is ReadOutcome.OK:
+            if len(answer.records) > 1:
                 self._last_batch_at = self._clock()
-            new_records = self.copy.extend(got.records, got.end, asked_at)
+            new_records = self.copy.extend(answer.records, answer.end, asked_at)
             self._notify(new_records)
         return True
 
-    def _answer_requests(self, ok: bool) -> None:
+    def _finish_refreshes(self, ok: bool) -> None:
         requests, self._refresh_requests = self._refresh_requests, []
         for done in requests:
             done(ok)
@@ -228,10 +228,10 @@
     def _read_to_end(self, requests: list[RefreshHandler], asked_at: float) -> None:
         """Read, in several parts if needed, up to the end of the log."""
 
-        def got(records: Records) -> None:
-            ok = records.outcome is ReadOutcome.OK
-            if self.copy.loaded and self._apply_read(records, asked_at):
-                if ok and records.records and records.end > self.copy.next_offset:
+        def on_answer(answer: Records) -> None:
+            ok = answer.outcome is ReadOutcome.OK
+            if self.copy.loaded and self._apply_read(answer, asked_at):
+                if ok and answer.records and answer.end > self.copy.next_offset:
                     self._read_to_end(requests, asked_at)
                     return
             self._refreshing = False
@@ -240,7 +240,7 @@
             if self._refresh_requests:
                 self._start_refresh()
 
-        self._log.read(self.copy.next_offset, 0, got)
+        self._log.read(self.copy.next_offset, 0, on_answer)
 
     def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         generation = self._generation
--- a/spoolcrank/metrics.py
+++ b/spoolcrank/metrics.py
@@ -6,9 +6,9 @@
 from hdrh.histogram import HdrHistogram
 from statsd import StatsClient
 
-_LOWEST_US = 1
-_HIGHEST_US = 120_000_000
-_DIGITS = 2
+_MIN_TIMING_US = 1
+_MAX_TIMING_US = 120_000_000
+_SIGNIFICANT_DIGITS = 2
 _PREFIX = "spoolcrank"
 
 
@@ -35,9 +35,9 @@
         """Record a duration in the histogram of a name, and send it to statsd at once."""
         histogram = self._timings.get(name)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+            histogram = HdrHistogram(_MIN_TIMING_US, _MAX_TIMING_US, _SIGNIFICANT_DIGITS)
             self._timings[name] = histogram
-        histogram.record_value(max(_LOWEST_US, int(seconds * 1e6)))
+        histogram.record_value(max(_MIN_TIMING_US, int(seconds * 1e6)))
         if self._statsd is not None:
             self._statsd.timing(name, seconds * 1000)
 
--- a/spoolcrank/open_requests.py
+++ b/spoolcrank/open_requests.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from spoolcrank._web import HttpRequest, Reply, Unsent
+from spoolcrank._web import HttpRequest, Reply, UnsentAnswer
 
 MAX_GIVEN_UP_LINES = 20
 """Maximum number of `given-up` log lines per stop.
@@ -32,7 +32,7 @@
     Attributes:
         request: the request as received.
         reply: sends the answer.
-        came_at: when it was read completely, in seconds of the monotonic clock.
+        received_at: when it was read completely, in seconds of the monotonic clock.
         waits: what the request waits for.
     """
 
@@ -46,25 +46,25 @@
     """The unanswered requests of one listening address, oldest first."""
 
     def __init__(self) -> None:
-        self._asked: dict[OpenRequest, None] = {}
+        self._requests: dict[OpenRequest, None] = {}
 
     def __len__(self) -> int:
-        return len(self._asked)
+        return len(self._requests)
 
-    def begin(self, asked: OpenRequest) -> None:
+    def begin(self, request: OpenRequest) -> None:
         """Add a request that was read completely."""
-        self._asked[asked] = None
+        self._requests[request] = None
 
-    def end(self, asked: OpenRequest) -> bool:
+    def end(self, request: OpenRequest) -> bool:
         """Remove a request that is being answered; return False if it already has an answer."""
-        if asked not in self._asked:
+        if request not in self._requests:
             return False
-        del self._asked[asked]
+        del self._requests[request]
         return True
 
     def oldest_first(self) -> list[OpenRequest]:
         """Return the unanswered requests in the order of their arrival."""
-        return list(self._asked)
+        return list(self._requests)
 
 
 class AbandonedRequest(NamedTuple):
@@ -82,7 +82,9 @@
     waits: WaitReason
 
 
-def given_up(asked: OpenRequests, unsent: list[Unsent]) -> list[AbandonedRequest]:
+def abandoned_requests(
+    open_requests: OpenRequests, unsent: list[UnsentAnswer]
+) -> list[AbandonedRequest]:
     """Return the requests that a stop abandons: unanswered, or with a partly sent answer."""
     waiting = [
         AbandonedRequest(
@@ -91,7 +93,7 @@
             unanswered.received_at,
             unanswered.waits,
         )
-        for unanswered in asked.oldest_first()
+        for unanswered in open_requests.oldest_first()
     ]
     return waiting + [AbandonedRequest(*answer, WaitReason.CLIENT) for answer in unsent]
 
--- a/spoolcrank/planned_stop.py
+++ b/spoolcrank/planned_stop.py
@@ -28,7 +28,7 @@
 """Time after the end of intake before connections without a request are closed, in seconds.
 
 The request of a connection that was accepted last may still be on its way. This is half of the
-queueing delay at which the platform calls a link choked."""
+queueing delay from which the platform treats a link as congested."""
 
 LOOP_LAG_ALLOWANCE_S = 0.3
 """Total delay of the event loop to allow for while requests wait for the store, in seconds.
--- a/spoolcrank/platform/documents.py
+++ b/spoolcrank/platform/documents.py
@@ -143,7 +143,7 @@
     """Decode a runner's entry in the list of runners; raise Unreadable if it is invalid."""
     if START_MARK in runner:
         raise Unreadable(f"{runner!r} is not a valid runner name")
-    raw = _server_of(value)
+    raw = _decode_valid_server(value)
     return RunnerEntry(
         runner_id(RunnerName(runner), raw.born),
         Address(raw.address),
@@ -156,7 +156,7 @@
 
 
 @raises_unreadable
-def _server_of(value: bytes) -> _Server:
+def _decode_valid_server(value: bytes) -> _Server:
     if len(value) > MAX_ENTRY_BYTES:
         raise ValueError(f"{len(value)} bytes exceed the maximum size of an entry")
     raw = _decode_server(value)
--- a/spoolcrank/platform/runners.py
+++ b/spoolcrank/platform/runners.py
@@ -113,8 +113,8 @@
 
 
 def _task_key(name: str) -> TaskKey:
-    job, number, step, index = name.rsplit(".", 3)
-    return TaskKey(JobId(job), int(number), int(step), int(index))
+    job, round_number, step, number = name.rsplit(".", 3)
+    return TaskKey(JobId(job), int(round_number), int(step), int(number))
 
 
 class PlatformRunners:
--- a/spoolcrank/routing.py
+++ b/spoolcrank/routing.py
@@ -31,7 +31,7 @@
 _MAX_TRIES_BEFORE_QUEUE = 3
 _MIN_QUEUE_LENGTH = 8
 _MIN_RETRY_AFTER_S = 0.05
-_FORWARD_TTL_S = 60.0
+_FORWARD_TTL_S = 60.0  # forwarded attempts without a result are dropped after this time
 
 
 def free_slots(router: Router, server: InstanceId, policy: Policy, now: float) -> int:
--- a/spoolcrank/telemetry.py
+++ b/spoolcrank/telemetry.py
@@ -15,7 +15,7 @@
 
 from spoolcrank._timers import Timers
 
-FLUSH_S = 0.1
+FLUSH_INTERVAL_S = 0.1
 """Interval between two writes, seconds; it limits the number of system calls."""
 
 LINES_PER_S = 300.0
@@ -69,7 +69,7 @@
         self.count: Callable[[str], None] = lambda name: None
         os.set_blocking(out, False)
         eliot.add_destinations(self._add_line)
-        timers.every(FLUSH_S, self.flush)
+        timers.every(FLUSH_INTERVAL_S, self.flush)
 
     def log(self, name: str, important: bool = False, **fields: Any) -> None:
         """Count an event, and queue its line unless the rate limit drops it."""
--- a/spoolcrank/workflow.py
+++ b/spoolcrank/workflow.py
@@ -286,7 +286,7 @@
 
 
 @raises_unreadable
-def stored_phase(value: bytes) -> JobPhase:
+def decode_phase(value: bytes) -> JobPhase:
     """Decode only the phase, which every instance needs of every record.
 
     Raise Unreadable if the value is malformed.
--- a/tests/test_crashes_together.py
+++ b/tests/test_crashes_together.py
@@ -44,7 +44,7 @@
 
 
 # Guards against suspects that wait one after the other for an exclusive runner.
-@pytest.mark.parametrize("keeps_ids", [0.0, 1.0], ids=["new-ids", "same-ids"])
+@pytest.mark.parametrize("keeps_id_share", [0.0, 1.0], ids=["new-ids", "same-ids"])
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("losses", [1, 2, 3, 5])
 def test_all_work_ends_soon_after_all_runners_lost_power(
--- a/tests/test_learnt_sizes.py
+++ b/tests/test_learnt_sizes.py
@@ -67,7 +67,7 @@
 
 
 def test_learned_sizes_of_a_peer_are_used_unchanged() -> None:
-    snapshot = _trained_model(2.0, 3.0).tell(0.0)
+    snapshot = _trained_model(2.0, 3.0).snapshot(0.0)
     successor = InterferenceModel()
     successor.merge_snapshot(snapshot, 0.0)
     assert snapshot.uses == [ClassUseEstimate(CLASS, pytest.approx(2.2), pytest.approx(550.0), 3)]
--- a/tests/test_web_stop.py
+++ b/tests/test_web_stop.py
@@ -153,7 +153,7 @@
     idle, half, asking = served.client(), served.client(), served.client()
     half.sendall(request("/now")[:9])
     asking.sendall(request("/later"))
-    served.wait(lambda: (served.web.half_sent, served.web.unanswered) == (1, 1))
+    served.wait(lambda: (served.web.partly_received, served.web.unanswered) == (1, 1))
     served.do(served.web.close_after_answers)
     served.do(served.web.close_idle)
     assert served.do(lambda: served.web.connections) == 2
@@ -202,7 +202,7 @@
     half, asking = served.client(), served.client()
     half.sendall(request("/now")[:9])
     asking.sendall(request("/later"))
-    served.wait(lambda: (served.web.half_sent, served.web.unanswered) == (1, 1))
+    served.wait(lambda: (served.web.partly_received, served.web.unanswered) == (1, 1))
     served.do(served.web.close_after_answers)
     served.do(served.web.stop_reading)
     served.do(served.web.close_unanswerable)
--- a/tests/test_workflow.py
+++ b/tests/test_workflow.py
@@ -18,10 +18,10 @@
     StoredTask,
     Workflow,
     decode_job,
+    decode_phase,
     decode_progress,
     encode,
     encode_progress,
-    stored_phase,
 )
 
 
@@ -35,7 +35,7 @@
         )
         value = encode_progress(progress)
         assert decode_progress(value) == progress
-        assert stored_phase(value) is phase
+        assert decode_phase(value) is phase
         assert len(value) < len(encode(progress)) / 2
 
 
