--- a/spoolcrank/claiming.py
+++ b/spoolcrank/claiming.py
@@ -2,7 +2,7 @@
 
 Only the term decides between claims: the store accepts the first claim of a term, and only a claim
 that is read back counts. A claimant first reads the log to its end, so that it does not treat a
-leader as silent whose newest record it has not read yet. If the leader did not resign, the first
+leader whose newest record it has not read yet as silent. If the leader did not resign, the first
 claims are also conditional on the log's end: carried out late, they would depose a leader that has
 recovered. Later claims are unconditional, because arriving jobs move the log's end while no
 instance leads.
--- a/spoolcrank/common_cause.py
+++ b/spoolcrank/common_cause.py
@@ -7,17 +7,19 @@
 
 from collections.abc import Hashable, Iterable, Iterator, Sequence
 
-from spoolcrank.crash_history import SOON_S, CommonCause, RunnerFailure
+from spoolcrank.crash_history import MAX_EARLY_LIFETIME_S, CommonCause, RunnerFailure
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import StepKey
 
 MIN_FAILED_SHARE = 0.8
-"""Minimum share of a group that fails at one moment by a common cause. A few crash-causing tasks
-take down fewer runners: each occupies one runner at a time, and waits between its starts."""
+"""Minimum share of a group that must fail at one moment for a common cause to be assumed. A few
+crash-causing tasks take down fewer runners: each occupies one runner at a time, and waits between
+its starts."""
 
 MIN_FAILED_RUNNERS = 4
-"""Minimum number of runners that fail together by a common cause; fewer do so by chance."""
+"""Minimum number of runners that must fail at one moment for a common cause to be assumed; fewer
+may do so by chance."""
 
 
 def failure_of(runner: RunnerState, now: float) -> RunnerFailure:
@@ -26,10 +28,10 @@
     recent_steps = frozenset(
         key.step_key
         for key, run in runner.runs.items()
-        if run.ordered_at is not None and first_missed_at - run.ordered_at <= SOON_S
+        if run.ordered_at is not None and first_missed_at - run.ordered_at <= MAX_EARLY_LIFETIME_S
     )
-    # A runner that failed before it answered this leader did so after it was registered, as far as
-    # is known.
+    # If the runner never answered this leader, its failure is assumed to have happened after its
+    # registration.
     last_answered_at = max(runner.first_seen_at, runner.answered_at)
     return RunnerFailure(
         runner.id,
@@ -49,25 +51,27 @@
     A failure that matches a cause that is known already is returned alone.
     """
     for known in state.crash_history.common_causes:
-        at_once = failure.last_answered_at <= known.until and known.since <= failure.first_missed_at
-        if known.group in failure.groups and at_once:
+        same_time = (
+            failure.last_answered_at <= known.until and known.since <= failure.first_missed_at
+        )
+        if known.group in failure.groups and same_time:
             return known, [failure]
-    together = [other for other in _failures(state, now) if _overlap(other, failure)]
-    if len(together) < MIN_FAILED_RUNNERS:
+    simultaneous = [other for other in _failures(state, now) if _overlap(other, failure)]
+    if len(simultaneous) < MIN_FAILED_RUNNERS:
         return None
     remaining_groups = [_groups(runner) for runner in _remaining_runners(state, failure)]
     for group in failure.groups:
-        failed = [member for member in together if group in member.groups]
+        failed = [member for member in simultaneous if group in member.groups]
         remaining = sum(1 for groups in remaining_groups if group in groups)
         if len(failed) >= max(MIN_FAILED_RUNNERS, MIN_FAILED_SHARE * (len(failed) + remaining)):
-            since, until = _moment(failed)
+            since, until = _failure_time_span(failed)
             cause = CommonCause(group, since, until, _only_step(failed))
             state.crash_history.common_causes.append(cause)
             return cause, failed
     return None
 
 
-def _moment(failed: Sequence[RunnerFailure]) -> tuple[float, float]:
+def _failure_time_span(failed: Sequence[RunnerFailure]) -> tuple[float, float]:
     """Return the time span in which some runners failed, assuming that it was at one moment."""
     answered, missed = (
         max(runner.last_answered_at for runner in failed),
@@ -105,10 +109,10 @@
             yield runner
 
 
-def _overlap(one: RunnerFailure, other: RunnerFailure) -> bool:
+def _overlap(first: RunnerFailure, second: RunnerFailure) -> bool:
     return (
-        one.last_answered_at <= other.first_missed_at
-        and other.last_answered_at <= one.first_missed_at
+        first.last_answered_at <= second.first_missed_at
+        and second.last_answered_at <= first.first_missed_at
     )
 
 
--- a/spoolcrank/crash_history.py
+++ b/spoolcrank/crash_history.py
@@ -1,8 +1,8 @@
 """History of runner crashes, and the test of whether one task causes them.
 
 Every task on a runner that crashes is a suspect, and at most one of them is the cause. The age of
-the runs tells them apart: a crash-causing task takes down one runner after another soon after its
-starts, even where nothing else began there recently. Sound tasks are hit by crashes at any age, as
+the runs shows which one: a crash-causing task takes down one runner after another soon after its
+starts, even where nothing else began there recently. Other tasks are hit by crashes at any age, as
 often as runners crash anyway.
 """
 
@@ -19,30 +19,31 @@
 """Maximum number of crashes stored for one task, the newest; five are enough to give it up."""
 
 MIN_CRASHES = 3
-"""Minimum number of crashes before a task is given up, because a task that started beside it may
-have caused any one of them."""
+"""Minimum number of crashes before a task is given up, because another task that started on the
+same runner may have caused any one of them."""
 
 MIN_CRASHES_ALONE = 2
-"""Minimum number of these crashes in which nothing else on the runner could have been the cause."""
+"""Minimum number, among MIN_CRASHES, of crashes in which nothing else on the runner could have been
+the cause."""
 
-MAX_CHANCE = 1e-4
-"""Maximum probability of giving up a sound task: a task is given up if ordinary crashes would
-hit a sound one this often, this early, with at most this probability."""
+MAX_FALSE_POSITIVE_PROBABILITY = 1e-4
+"""Maximum probability of giving up a task that causes no crashes: a task is given up if ordinary
+crashes would hit such a task this often, this early, with at most this probability."""
 
 CERTAIN_CRASHES = 5
 """Number of crashes, none of them known to be late after the start, after which a task is given
 up at any rate of ordinary crashes: a period with several crash-causing tasks raises that rate
-too. Clients count the sixth start."""
+too. At most two starts after the third crash are allowed, so the sixth start must not happen."""
 
-SOON_S = 2.5
+MAX_EARLY_LIFETIME_S = 2.5
 """Maximum lifetime of a run that counts as lost soon after its start, in seconds: a silent
 runner is detected up to 1.6 s late."""
 
-SHARED_SOON_S = 1.2
+MAX_SHARED_EARLY_LIFETIME_S = 1.2
 """Maximum lifetime, in seconds, of a run lost together with many others for the loss to count
-towards CERTAIN_CRASHES: few sound runs are that young at one power loss, and hardly any at five."""
+towards CERTAIN_CRASHES: few runs are that young at one power loss, and hardly any at five."""
 
-MIN_LIVED_S = 0.05
+MIN_LIFETIME_S = 0.05
 """Minimum lifetime used in the calculation, in seconds: the time for an order and its answer,
 below which the age of a run carries no information."""
 
@@ -51,17 +52,17 @@
 
 ASSUMED_CRASHES = 5.0
 ASSUMED_RUNNER_S = 100.0
-"""Crashes and runner time, in seconds, that a new leader assumes before it has observed any:
-each runner crashes every 20 s, as in a period of frequent ordinary crashes. Too low a rate gives
-up sound work, too high a rate costs one start."""
+"""Crashes and runner time, in seconds, that a new leader assumes before it has observed any: each
+runner crashes every 20 s, as in a period of frequent ordinary crashes. With too low a rate tasks
+that cause no crashes are given up; too high a rate costs one more start."""
 
 ISOLATE_AFTER_CRASHES = 2
-"""Number of crashes after which a task is isolated. Isolation after the first one would stop
-more sound work than it saves, as most tasks on a runner that crashes are sound."""
+"""Number of crashes after which a task is isolated. Isolation after the first one would hold
+up more work than it saves, as most tasks on a runner that crashes did not cause the crash."""
 
 MAX_UNCONFIRMED_CRASHES = 1000
-"""Maximum number of unconfirmed crashes in memory; some runners never return, so that nothing
-settles theirs."""
+"""Maximum number of unconfirmed crashes in memory; some runners never return, so that their
+crashes are never confirmed or refuted."""
 
 OUTLIVE_FACTOR = 2.0
 OUTLIVE_MARGIN_S = 1.0
@@ -113,7 +114,7 @@
 
 
 class UnconfirmedCrash(NamedTuple):
-    """Runner that may have crashed: its address has not answered since."""
+    """Possible crash of a runner: its address has not answered since. Contains the tasks there."""
 
     address: Address
     tasks: tuple[TaskKey, ...]
@@ -171,11 +172,14 @@
         self._crashes = deque(crash for crash in self._crashes if task not in crash.tasks)
 
     def crashes_per_runner_s(self, task: TaskKey, runners: int, now: float) -> float:
-        """Return the crash rate of one runner, per second, without the crashes under the task."""
+        """Return the crash rate of one runner, per second.
+
+        Crashes of runners on which the task ran are not counted.
+        """
         self._drop_old(now)
         others = sum(1 for crash in self._crashes if task not in crash.tasks)
-        seen_s = min(CRASH_WINDOW_S, now - self._since) * runners
-        return (ASSUMED_CRASHES + others) / (ASSUMED_RUNNER_S + seen_s)
+        observed_runner_s = min(CRASH_WINDOW_S, now - self._since) * runners
+        return (ASSUMED_CRASHES + others) / (ASSUMED_RUNNER_S + observed_runner_s)
 
     def restore(self, job: JobState) -> None:
         """Restore the unconfirmed crashes from the crash evidence of a job."""
@@ -187,7 +191,7 @@
                     )
 
     def add_unconfirmed(self, runner: RunnerId, address: Address, tasks: Iterable[TaskKey]) -> None:
-        """Record that a runner may have crashed under some tasks."""
+        """Record that a runner may have crashed while some tasks ran there."""
         present = self.unconfirmed.get(runner)
         known = present.tasks if present is not None else ()
         self.unconfirmed[runner] = UnconfirmedCrash(address, (*known, *tasks))
@@ -235,30 +239,37 @@
         entries: crash evidence of the task.
         crashes_per_s: crash rate of one runner, per second, without the task.
     """
-    own = independent_crashes(entries)
-    soon = [
-        entry for entry in entries if entry.shared and 0 < entry.lived_ms <= SHARED_SOON_S * 1000.0
+    independent = independent_crashes(entries)
+    early_shared = [
+        entry
+        for entry in entries
+        if entry.shared and 0 < entry.lived_ms <= MAX_SHARED_EARLY_LIFETIME_S * 1000.0
     ]
-    all_soon = all(entry.lived_ms <= SOON_S * 1000.0 for entry in own)
-    if all_soon and own and len(own) + len(soon) >= CERTAIN_CRASHES:
+    all_early = all(entry.lived_ms <= MAX_EARLY_LIFETIME_S * 1000.0 for entry in independent)
+    if all_early and independent and len(independent) + len(early_shared) >= CERTAIN_CRASHES:
         return True
-    alone = [entry for entry in own if entry.alone]
-    if len(own) < MIN_CRASHES or len(alone) < MIN_CRASHES_ALONE:
+    alone = [entry for entry in independent if entry.alone]
+    if len(independent) < MIN_CRASHES or len(alone) < MIN_CRASHES_ALONE:
         return False
     if len({entry.address for entry in alone}) < MIN_CRASHES_ALONE:
         # Repeated crashes on one machine may be caused by the machine.
         return False
     # All known lifetimes count, not only those without other possible causes: the shorter a run
     # lived, the more often it is the only possible cause.
-    lived_s = [max(MIN_LIVED_S, entry.lived_ms / 1000.0) for entry in own if entry.lived_ms]
-    return chance_upper_bound(len(lived_s), crashes_per_s * sum(lived_s)) <= MAX_CHANCE
+    lived_s = [
+        max(MIN_LIFETIME_S, entry.lived_ms / 1000.0) for entry in independent if entry.lived_ms
+    ]
+    return (
+        probability_upper_bound(len(lived_s), crashes_per_s * sum(lived_s))
+        <= MAX_FALSE_POSITIVE_PROBABILITY
+    )
 
 
-def chance_upper_bound(crashes: int, expected: float) -> float:
+def probability_upper_bound(crashes: int, expected: float) -> float:
     """Return an upper bound of the probability of this many crashes or more.
 
     Args:
         crashes: number of crashes.
-        expected: number of crashes that is expected.
+        expected: expected number of crashes.
     """
     return min(1.0, math.pow(expected, crashes) / math.factorial(crashes))
--- a/spoolcrank/dispatcher.py
+++ b/spoolcrank/dispatcher.py
@@ -130,7 +130,7 @@
             self._decide_soon()
 
     def leave(self, done: Callable[[], None]) -> None:
-        """Resign for good; call `done` once that is stored, or at once if not leading."""
+        """Resign permanently; call `done` once that is stored, or at once if not leading."""
         self._leaving = True
         self._claiming.allowed = False
         self._on_resigned = done
@@ -349,8 +349,8 @@
         if then is not None and self._clock() - timing.sent_at > SELF_FENCE_S / 2:
             self._step_down("a write was confirmed too late")
         elif timing.repeated:
-            # Others may have read the record after the first attempt and count our leases from
-            # then. Show by a new claim that this instance still leads before extending any lease.
+            # Others may have read the record after the first attempt and count this leader's leases
+            # from then. Show by a new claim that it still leads before extending any lease.
             self._write_claim(writer, resigned=False, then=then)
         else:
             self._record_confirmed_write(scheduler, timing.sent_at)
--- a/spoolcrank/earlier_incarnations.py
+++ b/spoolcrank/earlier_incarnations.py
@@ -17,18 +17,18 @@
 
 
 def other_incarnation_answers(
-    state: Scheduler, asked: RunnerState, answers: RunnerId, target: Target, now: float
+    state: Scheduler, asked: RunnerState, answering: RunnerId, target: Target, now: float
 ) -> None:
     """Handle an answer from an incarnation of a runner other than the one asked.
 
-    The entry of that incarnation may arrive later; until then nothing starts there, because its
-    capacity is not known.
+    Its entry may be read from the list of runners later; until then nothing starts there, because
+    its capacity is not known.
     """
     asked.record_no_answer(now)
-    later = state.runners.get(answers)
+    later = state.runners.get(answering)
     if later is None or later.gone:
-        later = state.register(asked.entry._replace(id=answers), now, listed=False)
-        state.log_event("runner-restarted", runner=answers, before=asked.id, runs=len(asked.runs))
+        later = state.register(asked.entry._replace(id=answering), now, listed=False)
+        state.log_event("runner-restarted", runner=answering, before=asked.id, runs=len(asked.runs))
     # The incarnation has seen the fence of this order.
     later.rank = max(later.rank, target.fence - state.term * FENCES_PER_TERM)
     if not later.adopted:
@@ -36,7 +36,7 @@
 
 
 def take_over_runs(state: Scheduler, runner: RunnerState, report: Report, now: float) -> None:
-    """Transfer runs that were ordered from an earlier incarnation to the one that lists them."""
+    """Transfer runs that an earlier incarnation was ordered to start to the one that lists them."""
     listed = {(row.task, row.run) for row in report.running}
     listed |= {(row.task, row.run) for row in report.ended}
     for earlier in _earlier(state, runner):
@@ -69,7 +69,7 @@
 
 
 def lose_earlier(state: Scheduler, runner: RunnerState, now: float) -> None:
-    """Settle a runner's earlier incarnations: they are over, with the runs it did not list."""
+    """Settle a runner's earlier incarnations: they and the runs that it did not list are over."""
     for earlier in list(_earlier(state, runner)):
         if not knows_start(earlier.id):
             # This id was stored without a start time: it may be the same incarnation.
--- a/spoolcrank/leader_writer.py
+++ b/spoolcrank/leader_writer.py
@@ -15,7 +15,7 @@
 
 
 class AppendTiming(NamedTuple):
-    """Times between which the store accepted an append, monotonic seconds.
+    """Times between which the store accepted an append, in monotonic seconds.
 
     Attributes:
         first_at: when the first attempt was sent that may have been stored; other instances may
--- a/spoolcrank/leadership.py
+++ b/spoolcrank/leadership.py
@@ -2,9 +2,9 @@
 
 A claim raises the writer's epoch on the log, so that the store refuses writes of an earlier
 leader that are still in flight. Its term is the fencing token of every order to a runner. Only a
-claim that is read back counts. An instance with many more processors than the leader's offers to
-lead, and the leader hands over to it: one process places all tasks, so the largest instance can
-handle the most load.
+claim that is read back counts. If an instance has many more processors than the leading one, it
+offers to lead, and the leader hands over to it: one process places all tasks, so the largest
+instance can handle the most load.
 """
 
 import random
@@ -44,12 +44,12 @@
 
 OFFER_JITTER_S = 1.0
 """Range of the random delay that spreads the offers of several instances, in seconds; the first
-offer that is read makes the others unnecessary. Offers have to come soon: a small leader of 350
-runners started almost nothing in the 3 to 4.6 s for which it led."""
+offer that is read makes the others unnecessary. Offers have to come soon: a leader on a small
+instance with 350 runners started almost nothing in the 3 to 4.6 s for which it led."""
 
 MIN_OFFER_INTERVAL_S = 3.0
-"""Minimum time between two offers of any instances, in seconds, after which a lost offer is
-repeated."""
+"""Minimum time between two offers, whichever instances make them, in seconds. An offer that was
+lost is repeated after it."""
 
 SUCCESSOR_HEAD_START_S = 0.5
 """Extra delay of other instances' claims after a leader named its successor, in seconds."""
@@ -57,13 +57,13 @@
 SMALLER_INSTANCE_DELAY_S = 0.8
 """Extra claim delay of an instance much smaller than one that led or offered to lead, in seconds.
 It is the sum of the jitter (0.4), the pause of a follower that does not lead (0.3) and the tick
-(0.1), so that a large instance that is alive claims first. With the jitter alone small instances
+(0.1), so that a large instance that is alive claims first. With the jitter alone, small instances
 led after 9 of 16 losses of a leader while jobs kept arriving, and an instance with a third of a
 core starts nothing over 350 runners."""
 
 
 MAX_UNREAD_CLAIMS = 20
-"""Maximum number of unread claims that is counted. Each one doubles the step to the next term, so
+"""Maximum number of unread claims that are counted. Each one doubles the step to the next term, so
 that the step exceeds a million within some seconds."""
 
 NO_SUCCESSOR = Incarnation("")
@@ -104,7 +104,7 @@
 
 
 class DueActions(NamedTuple):
-    """What an instance should write about leadership now."""
+    """The kinds of records about leadership that an instance should write now."""
 
     claim: bool = False
     heartbeat: bool = False
@@ -112,7 +112,7 @@
 
 
 class Leadership:
-    """What one instance knows about which instance leads."""
+    """One instance's view of which instance leads; it decides when to claim or offer to lead."""
 
     def __init__(
         self,
@@ -136,7 +136,7 @@
         self._jitter_s = random.Random(incarnation).uniform(0.0, CLAIM_JITTER_S)
         self._log_failed = True
         self._resigned_term = 0
-        self._claims_term = 0
+        self._claimed_term = 0
         self.claimed_at = -1.0
         self._unread_claims = 0
 
@@ -163,7 +163,7 @@
         return changed
 
     def record_leader_write(self, now: float) -> None:
-        """Record that a record was read that only the leader writes."""
+        """Record that a record was read that only a leader writes."""
         self.last_contact_at = now
         self.leader_wrote_at = now
 
@@ -183,7 +183,7 @@
         self.last_contact_at = now
 
     def record_unread_claim(self) -> None:
-        """Count a claim of a term that the store has seen; reading any claim resets this."""
+        """Count a claim whose term the store has seen; reading any claim resets the count."""
         self._unread_claims = min(self._unread_claims + 1, MAX_UNREAD_CLAIMS)
 
     def record_log_failure(self) -> None:
@@ -191,7 +191,10 @@
         self._log_failed = True
 
     def record_log_answer(self, now: float) -> None:
-        """Record that the log answered; a failure before counts as half the timeout at most."""
+        """Record that the log answered.
+
+        After a failure, the leader counts as silent for at most half of LEADER_TIMEOUT_S.
+        """
         if self._log_failed:
             self._log_failed = False
             self.last_contact_at = max(self.last_contact_at, now - LEADER_TIMEOUT_S / 2)
@@ -206,7 +209,7 @@
 
     @property
     def predecessor_wrote_at(self) -> float:
-        """Return the time from which leases of an earlier leader may run, monotonic seconds.
+        """Return the time from which leases of an earlier leader may run, in monotonic seconds.
 
         The earlier leader may be this same process: an instance that resigns and leads again may
         have read no other leader's records since, while runs that it started are still running.
@@ -215,7 +218,7 @@
 
     @property
     def extends_until(self) -> float:
-        """Return the time until which this leader may extend leases, monotonic seconds."""
+        """Return the time until which this leader may extend leases, in monotonic seconds."""
         return self.confirmed_at + SELF_FENCE_S
 
     def due_actions(self, now: float) -> DueActions:
@@ -270,7 +273,7 @@
         """Return the claim to write now; the store accepts only the first claim of a term."""
         # If the newest claim cannot be read, larger steps pass the term that the store has seen.
         term = self.claim.term + 2**self._unread_claims
-        if self._claims_term != term:
-            self._claims_term = term
+        if self._claimed_term != term:
+            self._claimed_term = term
             self.claimed_at = now
         return Claim(term, self.instance, self.incarnation, processors=self.processors)
--- a/spoolcrank/leadership_monitor.py
+++ b/spoolcrank/leadership_monitor.py
@@ -31,13 +31,13 @@
 
 @dataclass
 class LeadershipMonitor:
-    """What was observed and logged in one term.
+    """Observations of one term, and whether they were logged.
 
     Attributes:
-        term_began_at: when the term began, monotonic seconds.
-        all_runners_answered: every listed runner has answered this leader.
+        term_began_at: when the term began, in monotonic seconds.
+        all_runners_answered: whether every listed runner has answered this leader.
         block: why nothing is placed now.
-        block_since: when that reason began to apply, monotonic seconds.
+        block_since: when that reason began to apply, in monotonic seconds.
         block_logged: whether it was logged.
     """
 
--- a/spoolcrank/log_event_groups.py
+++ b/spoolcrank/log_event_groups.py
@@ -13,21 +13,21 @@
 from spoolcrank.workflow import TaskKey
 
 LOG_GROUP_INTERVAL_S = 0.5
-"""Time over which log events are grouped into a line, in seconds; the line contains the age of
-each. With 0.1 s the ends of one step still got a line each: a leader of 270 runners dropped 26,571
+"""Time over which log events are grouped into a line, in seconds; the line contains the age of each
+event. With 0.1 s the ends of one step still got a line each: a leader of 270 runners dropped 26,571
 lines in a day."""
 
 MAX_TASKS_PER_LINE = 32
 """Maximum number of tasks in one line. It keeps a line below 4,096 bytes, which a pipe writes
 atomically."""
 
-_Write = Callable[..., None]
+_LogFunction = Callable[..., None]
 _PLURALS = {"task": "tasks", "run": "runs", "runner": "runners"}
 _Group = tuple[Any, ...]
 
 
 class _TimedEvent(NamedTuple):
-    """A log event, and when it occurred, monotonic seconds."""
+    """A log event, and when it occurred, in monotonic seconds."""
 
     event: LogEvent
     at: float
@@ -70,7 +70,7 @@
         self._groups = {}
         self._group_of = {}
 
-    def write(self, log: _Write, now: float) -> None:
+    def write(self, log: _LogFunction, now: float) -> None:
         """Write the lines of all events added so far, and remove the events."""
         for line in self.pop_lines(now):
             log(line.name, important=line.name in IMPORTANT, **line.fields)
@@ -83,13 +83,13 @@
 
 
 def _group(event: LogEvent, task: TaskKey) -> _Group:
-    """Return what events must share to be in one line: the name, step and all text and flags."""
-    words = tuple(
+    """Return the values that all events of one line share: name, step, text and boolean fields."""
+    shared_values = tuple(
         (name, value)
         for name, value in event.fields.items()
         if name not in _PLURALS and isinstance(value, str | bool)
     )
-    return (event.name, task.job, task.round, task.step, words)
+    return (event.name, task.job, task.round, task.step, shared_values)
 
 
 def _line(timed_events: list[_TimedEvent], now: float) -> LogEvent:
@@ -115,10 +115,10 @@
     if "step" not in fields or "tasks" not in fields:
         return [fields]
     indices = range(len(fields["tasks"]))
-    return [_single(fields, index) for index in indices]
+    return [_fields_of_task(fields, index) for index in indices]
 
 
-def _single(fields: dict[str, Any], index: int) -> dict[str, Any]:
+def _fields_of_task(fields: dict[str, Any], index: int) -> dict[str, Any]:
     split: dict[str, Any] = {"task": [*fields["step"], fields["tasks"][index]]}
     names = {plural: name for name, plural in _PLURALS.items()}
     for name, value in fields.items():
--- a/spoolcrank/order_answers.py
+++ b/spoolcrank/order_answers.py
@@ -14,7 +14,7 @@
 from spoolcrank.workflow import FINAL
 
 REFUSALS = frozenset(OrderResult) - {OrderResult.NOT_DONE, OrderResult.OUTRANKED}
-"""Results of a start that count as refused by a reachable runner."""
+"""Results of a failed start for which its runner or its task may be to blame."""
 
 
 # Starts
--- a/spoolcrank/order_sender.py
+++ b/spoolcrank/order_sender.py
@@ -17,7 +17,7 @@
 
     Args:
         runners: the port to the runners.
-        clock: monotonic seconds.
+        clock: returns the time in monotonic seconds.
         on_answer: called after each answer was applied to the state.
         guard: runs a decision; an exception that it raises ends this leader's term.
 
@@ -66,12 +66,12 @@
         self._runners.poll(order, polled)
 
     def _start(self, scheduler: Scheduler, order: Start) -> None:
-        sent_at, busy_s = self._clock(), self.busy_s
+        sent_at, busy_before_s = self._clock(), self.busy_s
 
         def started(answer: Answered) -> None:
             def apply() -> None:
                 now = self._clock()
-                took_s = now - sent_at - (self.busy_s - busy_s)
+                took_s = now - sent_at - (self.busy_s - busy_before_s)
                 _update_window(scheduler, order, answer.result, took_s, now)
                 start_answered(scheduler, order, answer, now)
 
--- a/spoolcrank/orders.py
+++ b/spoolcrank/orders.py
@@ -44,7 +44,7 @@
 
 
 class Poll(NamedTuple):
-    """A request for what runs and what has ended; extends the lease to `until_ms` if given.
+    """A request for the running and ended runs; it extends the lease to `until_ms` if given.
 
     Attributes:
         seen: the runner may forget ends up to this number.
@@ -113,7 +113,7 @@
 
 
 class EndedRow(NamedTuple):
-    """One run that has ended on a runner; `number` increases within an incarnation."""
+    """One run that has ended on a runner; `number` increases with each end in an incarnation."""
 
     number: int
     task: TaskKey
--- a/spoolcrank/polling.py
+++ b/spoolcrank/polling.py
@@ -1,4 +1,4 @@
-"""Select the runners to poll now for what runs there and what has ended."""
+"""Select the runners to poll now for their running and ended runs."""
 
 from collections import Counter
 
@@ -8,12 +8,12 @@
 from spoolcrank.scheduler import Scheduler
 
 MAX_POLL_WAIT_MS = 1000
-"""Maximum time for which a runner holds a poll until a run ends, in milliseconds; a fifth of the
-lease."""
+"""Maximum time for which a runner holds a poll until a run ends, in milliseconds; less than a
+seventh of the lease (LEASE_MS)."""
 
 IDLE_POLL_INTERVAL_S = 1.5
-"""Interval between polls at a runner without runs, in seconds. It is below the time after which the
-runner's report counts as stale."""
+"""Interval between polls at a runner without runs, in seconds. It is below MAX_ANSWER_AGE_S, after
+which a runner without a new answer gets no new work."""
 
 MAX_CONCURRENT_FIRST_POLLS = 32
 """Maximum number of runners whose first answer to a new leader may be in flight at once. More would
@@ -28,8 +28,8 @@
 """Interval between the first polls at a restarted runner, in seconds; many usual round trips."""
 
 FENCE_POLL_PERIOD_S = 2.0
-"""Time for which a restarted runner is polled at that interval, in seconds. After that it may be
-down again, or its entry may have been written before it was up."""
+"""Time for which a restarted runner is polled every FENCE_POLL_INTERVAL_S, in seconds. After that
+it may be down again, or its entry may have been written before it was up."""
 
 SILENT_POLL_INTERVAL_S = 0.4
 """Interval between polls at a runner that does not answer, in seconds."""
@@ -73,9 +73,9 @@
     Runners in zones that answer come first, then those polled longest ago. Silent runners have a
     limit of their own, so that the others never wait for them.
     """
-    silence = _silence_by_zone(state, now)
+    unanswered = _unanswered_runners_by_zone(state, now)
     awaiting_first_answer.sort(
-        key=lambda candidate: (silence[candidate.entry.availability_zone], candidate.polled_at)
+        key=lambda candidate: (unanswered[candidate.entry.availability_zone], candidate.polled_at)
     )
     answering = [candidate for candidate in awaiting_first_answer if candidate.silent_since is None]
     silent = [
@@ -88,8 +88,8 @@
     )
 
 
-def _silence_by_zone(state: Scheduler, now: float) -> Counter[AvailabilityZone]:
-    """Return how many polled runners of each zone have not answered."""
+def _unanswered_runners_by_zone(state: Scheduler, now: float) -> Counter[AvailabilityZone]:
+    """Return how many polled runners of each zone have not answered this leader yet."""
     return Counter(
         candidate.entry.availability_zone
         for candidate in state.runners.values()
--- a/spoolcrank/run_control.py
+++ b/spoolcrank/run_control.py
@@ -22,7 +22,12 @@
 from spoolcrank.pacing import filler_use, learn, set_paces
 from spoolcrank.run_ends import end_run, handle_late_end
 from spoolcrank.runner_ids import answers_for
-from spoolcrank.runner_loss import clear_outlived, leases_passed, lose_runner, runner_answers
+from spoolcrank.runner_loss import (
+    clear_outlived,
+    handle_expired_leases,
+    lose_runner,
+    runner_answers,
+)
 from spoolcrank.runner_state import RunnerState
 from spoolcrank.runs import Run, RunStage
 from spoolcrank.scheduler import MAX_INHERITED_RUN_S, Scheduler
@@ -41,13 +46,13 @@
 it for the run to count as lost."""
 
 CLEARLY_UNDER_TARGET_SHARE = 0.85
-"""Share of its target below which a tail latency ends a period over the target; an approximate
-value."""
+"""Share of its target below which a tail latency ends a period over the target. Between this share
+and the target, the period neither begins nor ends."""
 
 ASSUMED_OVER_TARGET_S = 1.0
 """Time for which a task that a new leader finds over its target is assumed to have been over
-it, in seconds. A takeover without any fault takes about that time, and harm counts after four
-seconds."""
+it, in seconds. A takeover without any fault takes about that time, and a tail latency over its
+target counts as harm after four seconds."""
 
 NEARLY_DONE_PERCENT = 70
 """Progress, in percent, from which a task is expected to end before its leaving runner does, so
@@ -64,12 +69,12 @@
 
 COUNTED_HUNG_FACTOR = 0.6
 """Multiple of its expected time, between the last change of its progress and a report without
-progress, after which any other task counts as hung. Such a task has its processors to itself, so
-that progress would have shown."""
+progress, after which a task that is neither a filler nor in a gang counts as hung. Such a task
+has its processors to itself, so that progress would have shown."""
 
 MIN_COUNTED_HUNG_S = 0.9
-"""Minimum time without progress, in seconds, before any other task counts as hung; just below
-the time between two reports."""
+"""Minimum time without progress, in seconds, before a task that is neither a filler nor in a gang
+counts as hung; just below the time between two reports."""
 
 
 # Polls
@@ -207,7 +212,7 @@
 
 
 def _update_over_target(runner: RunnerState, run: Run, now: float) -> None:
-    """Update the time since which a serving task has been over its target."""
+    """Update the time since which a serving task has been over its target tail latency."""
     if run.tail_ms >= run.target_ms and run.over_target_since is None:
         run.over_target_since = now if runner.adopted else now - ASSUMED_OVER_TARGET_S
     elif run.tail_ms < run.target_ms * CLEARLY_UNDER_TARGET_SHARE:
@@ -225,8 +230,8 @@
         "runner-adopted", runner=runner.id, running=len(present), bound=len(runner.runs)
     )
     for key, run in list(runner.runs.items()):
-        inherited = run.stage in (RunStage.UNCONFIRMED, RunStage.STOPPING)
-        if inherited and (key, run.number) not in present:
+        start_unconfirmed = run.stage in (RunStage.UNCONFIRMED, RunStage.STOPPING)
+        if start_unconfirmed and (key, run.number) not in present:
             state.release(key, runner, "never started there", now)
 
 
@@ -307,12 +312,12 @@
 
 
 def _check_leases(state: Scheduler, runner: RunnerState, now: float) -> None:
-    inherited_leases_passed = now - state.predecessor_wrote_at > MAX_INHERITED_RUN_S
-    never_reached = not runner.adopted and inherited_leases_passed
+    inherited_leases_expired = now - state.predecessor_wrote_at > MAX_INHERITED_RUN_S
+    never_reached = not runner.adopted and inherited_leases_expired
     if not never_reached and not runner.surely_ended(now):
         return
     if runner.runs:
-        leases_passed(state, runner, now)
+        handle_expired_leases(state, runner, now)
 
 
 def _tick_run(state: Scheduler, runner: RunnerState, key: TaskKey, run: Run, now: float) -> None:
@@ -346,7 +351,7 @@
         hung_after_s = max(MIN_HUNG_S, expected_s * HUNG_FACTOR)
     else:
         hung_after_s = max(MIN_COUNTED_HUNG_S, expected_s * COUNTED_HUNG_FACTOR)
-    # Only the time that reports cover shows a lack of progress.
+    # A lack of progress shows only in the time up to the latest report.
     if run.reported_at - max(run.progress_changed_at, run.since) >= hung_after_s:
         state.log_event(
             "task-hangs", task=key, run=run.number, runner=runner.id, percent=run.percent
--- a/spoolcrank/run_ends.py
+++ b/spoolcrank/run_ends.py
@@ -14,8 +14,8 @@
 from spoolcrank.workflow import FINAL, JobPhase, Phase, TaskKey
 
 LASTING_RETRY_DELAY_S = 0.1
-"""Delay before a lasting task that failed starts again, in seconds; an immediate start would
-loop."""
+"""Delay before a lasting task that failed starts again, in seconds. Without it, a task that fails
+at each start would be restarted in a tight loop."""
 
 
 def end_run(
@@ -95,7 +95,7 @@
 
 
 def _cancel_newer_runs(state: Scheduler, key: TaskKey, step: StepState, now: float) -> None:
-    """Stop the newer run of a finished task or of its whole gang, or prevent its start."""
+    """Stop or prevent newer runs of a task that has finished, or of all tasks of its gang."""
     numbers = range(len(step.tasks)) if step.spec.gang else (key.number,)
     for number in numbers:
         task = step.tasks[number]
--- a/spoolcrank/runner_answers.py
+++ b/spoolcrank/runner_answers.py
@@ -7,7 +7,7 @@
 
 
 def public_id(request: RequestId) -> str:
-    """Return the id that the caller knows; a forwarded request has its attempt appended to it."""
+    """Return the id that the caller knows, without the attempt that a forwarded request adds."""
     return request.partition("/")[0]
 
 
--- a/spoolcrank/runner_directory.py
+++ b/spoolcrank/runner_directory.py
@@ -1,4 +1,4 @@
-"""Reading of the list of runners, which may also contain entries of other writers."""
+"""Decode the list of runners, which may also contain entries of other writers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -22,7 +22,7 @@
     unreadable: frozenset[RunnerName] = frozenset()
 
 
-class _Read(NamedTuple):
+class _DecodedRecord(NamedTuple):
     offset: int
     entry: RunnerEntry | None
 
@@ -32,7 +32,7 @@
 
     Args:
         decode: decoder of a record; raises Unreadable if it does not describe a usable runner.
-        on_unreadable: callback, notified once of each such record, with the reason.
+        on_unreadable: callback, called once for each such record, with the reason.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
     ) -> None:
         self._decode = decode
         self._on_unreadable = on_unreadable
-        self._records: dict[str, _Read] = {}
+        self._records: dict[str, _DecodedRecord] = {}
 
     def read(self, copy: KeyedLog) -> Listing:
         """Return the list of runners from a loaded copy of the topic."""
@@ -54,12 +54,12 @@
         unreadable = (RunnerName(key) for key, read in records.items() if read.entry is None)
         return Listing(entries, frozenset(unreadable))
 
-    def _read_record(self, record: KeyedRecord) -> _Read:
+    def _read_record(self, record: KeyedRecord) -> _DecodedRecord:
         known = self._records.get(record.key)
         if known is not None and known.offset == record.offset:
             return known
         try:
-            return _Read(record.offset, self._decode(record.key, record.value))
+            return _DecodedRecord(record.offset, self._decode(record.key, record.value))
         except Unreadable as exc:
             self._on_unreadable(record, str(exc))
-            return _Read(record.offset, None)
+            return _DecodedRecord(record.offset, None)
--- a/spoolcrank/runner_ids.py
+++ b/spoolcrank/runner_ids.py
@@ -1,6 +1,7 @@
 """Identifiers and fence ranks of the incarnations of runners.
 
-A runner may start again under the same name, and then has and knows nothing of its earlier runs.
+A runner may start again under the same name. It then has none of its earlier runs and knows nothing
+of them.
 Everything that is known of a runner, and everything that is sent to it, therefore belongs to one
 incarnation: a `RunnerId` consists of the name and the time of that start. Where the platform does
 not report the time, the id is the name alone, and the incarnations of that name are not
--- a/spoolcrank/runner_listing.py
+++ b/spoolcrank/runner_listing.py
@@ -9,10 +9,11 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.workflow import RunnerId
 
-RELIST_S = 2.0
+MAX_RELIST_DELAY_S = 2.0
 """Time after the return of the store, in seconds, within which entries that expired during its
-outage are back, as specified by the platform; a runner whose entry is missing then is gone. An
-entry that another writer overwrote is back by then too, as its runner writes it again and again."""
+outage are back, as specified by the platform; a runner whose entry is still missing then counts as
+leaving. An entry that another writer overwrote is back by then too, as its runner writes it again
+and again."""
 
 
 def list_runners(
@@ -32,8 +33,8 @@
     services = state.services()
     for entry in listing.entries.values():
         present = state.runners.get(entry.id)
-        known = services is None or entry.service in services
-        if known or (present is not None and present.runs):
+        service_known = services is None or entry.service in services
+        if service_known or (present is not None and present.runs):
             _list_runner(state, entry, now)
         elif present is not None and _belongs_to(entry, present):
             # Nothing is sent to its service any more, so it does not need to be polled either.
@@ -41,11 +42,11 @@
     ids_at = _ids_by_address(listing.entries)
     names = {name_of(runner) for runner in listing.entries}
     for runner in list(state.runners.values()):
-        entry_now = listing.entries.get(runner.id)
-        if entry_now is None or not _belongs_to(entry_now, runner):
+        current_entry = listing.entries.get(runner.id)
+        if current_entry is None or not _belongs_to(current_entry, runner):
             name = name_of(runner.id)
-            restarted = entry_now is None and name in names
-            overwritten = entry_now is not None or restarted or name in listing.unreadable
+            restarted = current_entry is None and name in names
+            overwritten = current_entry is not None or restarted or name in listing.unreadable
             _record_missing_entry(state, runner, overwritten, restarted, store_back_at, now)
         # Any writer may write an entry with the address of a live runner. The answer from that
         # address shows which incarnation it is, and only that releases the runs of another one.
@@ -101,7 +102,7 @@
         runner.listed = False
         if runner.adopted and runner.silent_since is None and not restarted:
             runner.entry_removed_at = now
-        runner.leaving_from = max(now, (now if overwritten else store_back_at) + RELIST_S)
+        runner.leaving_from = max(now, (now if overwritten else store_back_at) + MAX_RELIST_DELAY_S)
         state.log_event(
             "runner-unlisted",
             runner=runner.id,
--- a/spoolcrank/runner_loss.py
+++ b/spoolcrank/runner_loss.py
@@ -3,7 +3,7 @@
 A crash is the end of an incarnation without notice. It is proved once another incarnation answers
 at its address. A runner that was silent until every lease had expired, and whose entry
 disappeared, counts as crashed too until it answers again: it may return elsewhere, or never. A
-runner that drained and left, or that lives and was only partitioned, has not crashed.
+runner that drained and left, or that was only partitioned, has not crashed.
 """
 
 from collections.abc import Iterable
@@ -32,8 +32,8 @@
 cause of a crash that follows the start of the other one."""
 
 RESTART_DELAYS_S = (0.0, 1.0, 2.0)
-"""Delay before the next start of a task under which one, two, or more runners crashed, in
-seconds. Each crash removes a runner for seconds, with all that it runs. A job of which nothing
+"""Delay before the next start of a task after one, two, or more runners crashed while it ran there,
+in seconds. Each crash removes a runner for seconds, with all that it runs. A job of which nothing
 runs for 3 s counts as lost."""
 
 MIN_PLANNED_NOTICE_S = 1.5
@@ -42,8 +42,8 @@
 
 MAX_UNREPORTED_S = 2.5
 """Maximum time, in seconds, between the last report of a run and the first missed call to its
-runner for the lifetime of the run to be known; a leader that was delayed itself notices a crash
-much later."""
+runner for which the lifetime of the run counts as known; a leader that was delayed itself notices
+a crash much later."""
 
 TaskEvidence = tuple[TaskKey, CrashEvidence]
 
@@ -68,12 +68,14 @@
     confirm_crash(state, runner.id, now)
 
 
-def leases_passed(state: Scheduler, runner: RunnerState, now: float) -> None:
+def handle_expired_leases(state: Scheduler, runner: RunnerState, now: float) -> None:
     """Release the runs of a runner that did not answer until every lease had expired."""
-    # A runner that keeps its entry in the list lives, and is only partitioned from this leader.
-    over = not runner.listed and not _planned(runner, now)
+    # A runner whose entry is still listed is alive, and is only partitioned from this leader.
+    presumed_crashed = not runner.listed and not _planned(runner, now)
     failure = failure_of(runner, now)
-    unconfirmed = _evidence_of_failure(state, runner, failure, now, proved=False) if over else []
+    unconfirmed = (
+        _evidence_of_failure(state, runner, failure, now, proved=False) if presumed_crashed else []
+    )
     for key in list(runner.runs):
         state.release(key, runner, "every lease has passed", now)
     for key, evidence in unconfirmed:
@@ -85,7 +87,7 @@
 
 
 def runner_answers(state: Scheduler, runner: RunnerState, now: float) -> None:
-    """Settle unconfirmed crashes by an answer: this runner lives, or it replaces another one.
+    """Settle unconfirmed crashes by an answer: this runner is alive, or it replaces another one.
 
     A runner replaces another one if it has the address of the other one, or is a later incarnation
     of the same runner.
@@ -130,7 +132,7 @@
 
 
 def clear_outlived(state: Scheduler, key: TaskKey, run: Run, now: float) -> None:
-    """Clear a task whose run has lived well past the age at which runners crashed under it."""
+    """Clear a task once its run has lived much longer than its runs that ended in a crash."""
     task = _accountable(state, key)
     if task is None or not task.crashes:
         run.suspect = run.has_crash_evidence = False
@@ -155,7 +157,7 @@
 ) -> list[TaskEvidence]:
     """Record a failure and return the crash evidence per task.
 
-    Evidence of a failure with a common cause is marked as shared, so that it counts little.
+    Evidence of a failure with a common cause is marked as shared, which gives it little weight.
     """
     state.crash_history.record_failure(failure, now)
     result = find_cause(state, failure, now)
@@ -244,9 +246,9 @@
         for other, other_age_s in ages.items()
         if _accountable_key(state, key) != _accountable_key(state, other)
     )
-    seen_s = max(0.0, run.reported_at - (run.ordered_at or 0.0))
+    reported_age_s = max(0.0, run.reported_at - (run.ordered_at or 0.0))
     begun = run.progress_changed_at > 0.0 or run.reported_at > 0.0
-    known = begun and not run.inherited and age_s - seen_s <= MAX_UNREPORTED_S
+    known = begun and not run.inherited and age_s - reported_age_s <= MAX_UNREPORTED_S
     lived_ms = max(1, round(age_s * 1000.0)) if known else 0
     if run.inherited:
         # A task in isolation had not been cleared yet.
@@ -274,7 +276,7 @@
 
 
 def _record_evidence(state: Scheduler, key: TaskKey, evidence: CrashEvidence, now: float) -> None:
-    """Record crash evidence, delay the next start, and give up a crash-causing task.
+    """Record crash evidence, delay the next start, and fail the job of a crash-causing task.
 
     The evidence is stored before the next start can be sent.
     """
@@ -306,7 +308,7 @@
 
 
 def _flag_present_run(state: Scheduler, key: TaskKey, task: TaskState) -> None:
-    """Flag the run that was started before the crash was proved."""
+    """Flag the task's present run, which was started before the crash was proved."""
     runner = state.runners.get(task.runner)
     run = runner.runs.get(key) if runner is not None else None
     if run is not None:
--- a/spoolcrank/runner_state.py
+++ b/spoolcrank/runner_state.py
@@ -23,8 +23,8 @@
 platform."""
 
 MAX_ANSWER_AGE_S = 2.5
-"""Age of the last answer, in seconds, above which a runner gets no new work: two polls and a
-pause."""
+"""Age of the last answer, in seconds, above which a runner gets no new work. It covers two
+polls and the pause between them."""
 
 QUARANTINE_S = 4.0
 """Time for which a runner gets no new work after abnormal failures, in seconds. It doubles with
@@ -32,7 +32,7 @@
 
 SERVING_USE_SHARE = 0.5
 """Share of its declared processors that a serving task is assumed to use. The site files state
-a load of 0.48 that fluctuates. When serving tasks need more than this, the fillers yield."""
+a load of 0.48, which fluctuates. When serving tasks need more than this, the fillers yield."""
 
 ASSUMED_PACE_PERCENT = 50
 """Pace, in percent, that is assumed for a filler whose pace may or may not have been set: after
@@ -92,7 +92,7 @@
 
     Attributes:
         at: time of the computation, in monotonic seconds.
-        over: whether one of the serving tasks is over its target.
+        over: whether one of the serving tasks is over its target tail latency.
         left: for each serving image, the amount by which the logarithm of its tail latency may
             still rise.
     """
@@ -112,23 +112,30 @@
         gone: whether it no longer exists, so that nothing runs on it.
         rank: rank among the incarnations of its name that this leader has registered; part of its
             fence.
-        met_at: time at which this leader first registered it.
+        first_seen_at: time at which this leader first registered it.
         listed: whether its entry is in the store.
         lease_ms: lease that one order grants here.
         leaving_from: time from which it counts as leaving because its entry is missing; None if
             listed.
-        granted_ms: latest time, on the runner's clock, to which any order may keep it alive.
+        clock_ms: latest time that the runner's clock showed.
+        clock_at: time at which `clock_ms` was received; -1 before the first answer.
+        answered_at: time at which the latest answered call was sent; -1 if none was answered.
+        granted_ms: latest time, on the runner's clock, to which any order may have extended its
+            lease.
         earlier_grants_known: whether `granted_ms` also covers the grants of earlier leaders.
-        seen: number up to which its ends are recorded, so that the runner may forget them.
+        seen: number of the last end that is stored; the runner may forget its ends up to it.
         seen_next: value of `seen` once the pending writes are stored.
         silent_since: time at which it stopped answering; None while it answers.
         ids_at_address: ids of other entries with its address, about which it has been polled.
-        emptied: whether its zone is evacuated, so that the operator wants nothing more to start
-            there.
-        apart_for: suspect that has the runner exclusively for a while; nothing else starts there.
-        apart_since: time at which that isolation began.
+        evacuated: whether its zone is evacuated, so that nothing more may start there.
+        isolated_for: suspect that has the runner to itself for a while; nothing else starts there.
+        isolated_since: time at which that isolation began.
+        polling: whether a poll is in flight.
+        polled_at: time of the latest poll; -1 makes the next poll due at once.
         entry_removed_at: time at which its entry disappeared while it still answered, as before a
             planned end.
+        filled_millicores: processors that its fillers can use at their pace.
+        serving_millicores: processors that its serving tasks demand.
         serving: number of serving tasks per image.
         serving_images: keys of `serving`, precomputed because each choice of a runner looks them
             up.
@@ -201,9 +208,10 @@
         return self.clock_ms + (now - self.clock_at) * 1000.0 * (1.0 - CLOCK_DRIFT)
 
     def grant(self, now: float) -> int:
-        """Return the time, on the runner's clock, to which an order sent now may grant; record it.
+        """Return the time, on the runner's clock, to which an order sent now extends its lease.
 
-        While the runner is silent, the grant is not extended, so that its runs are sure to end.
+        The time is recorded in `granted_ms`. While the runner is silent, its lease is not extended,
+        so that its runs are sure to end.
         """
         if self.silent_since is None:
             self.granted_ms = max(
@@ -309,9 +317,9 @@
         reserved = [other.demand for key, other in self.reservations.items() if key != task]
         demands = [demand, *reserved]
         return (
-            self.used_millicores + sum(each.millicores for each in demands) <= room.millicores
-            and self.used_memory_mb + sum(each.memory_mb for each in demands) <= room.memory_mb
-            and self.used_accelerators + sum(each.accelerators for each in demands)
+            self.used_millicores + sum(item.millicores for item in demands) <= room.millicores
+            and self.used_memory_mb + sum(item.memory_mb for item in demands) <= room.memory_mb
+            and self.used_accelerators + sum(item.accelerators for item in demands)
             <= room.accelerators
         )
 
@@ -319,7 +327,9 @@
         """Drop the reservations that have expired."""
         if self.reservations:
             self.reservations = {
-                key: entry for key, entry in self.reservations.items() if entry.until > now
+                key: reservation
+                for key, reservation in self.reservations.items()
+                if reservation.until > now
             }
 
     @property
--- a/spoolcrank/runs.py
+++ b/spoolcrank/runs.py
@@ -27,28 +27,34 @@
         demand: demand that counts against the capacity of the runner.
         wanted_millicores: processors that the run would use if it could, counted or not.
         since: time at which the stage began, in monotonic seconds.
-        percent: latest progress or pace; -1 before the first report.
-        moved_at: time of the last change of `percent`.
+        image: image that it runs.
+        fills: whether it is a filler.
+        target_ms: target of the tail latency of a serving task; 0 for any other task.
+        lasting: whether its task is a lasting task.
+        checkpoints: whether its task can resume from a checkpoint.
+        percent: latest progress or pace that its runner reported; -1 before the first report.
+        progress_changed_at: time of the last change of `percent`.
         reported_at: time at which the runner last listed the run.
-        tries: number of orders sent so far in this stage.
+        tries: number of starts or stops sent so far in this stage.
         tail_ms: latest tail latency of a serving task; 0 if unknown.
-        over_since: time since which every report has shown the tail latency over its target, or
-            None.
+        over_target_since: time at which the tail latency went over its target; None once a report
+            shows it clearly below.
         load: load of the step of a serving task; shared by all tasks of the step.
         used_millicores: latest processor use of a task that is not a serving task; 0 if unknown.
-        pace: percentage of full speed at which it may run.
+        pace: percentage of full speed at which it may run; below 100 only for fillers.
         paced_at: time at which the pace was last set.
         worked_before_s: seconds of work, at full pace, that were done before the pace was last
             set.
         resumed: whether it began from a checkpoint, or before this leader saw it.
         slow_since: time since which its pace has been half or less; None at a higher pace.
         bound_at: time at which it was bound, or taken over by this leader.
+        in_flight: whether a start or stop of it was sent and is not answered yet.
         ordered_at: time at which its start was first sent, or at which it was taken over; None
             before.
         inherited: whether an earlier leader bound it, so that its age is not known.
-        marked: whether a runner crashed under an earlier run of its task and this run has not yet
-            lived longer than that one.
-        suspect: whether `marked` holds and the crash had no common cause with others.
+        has_crash_evidence: whether runners crashed during earlier runs of its task and this run has
+            not yet lived much longer than those.
+        suspect: whether it has crash evidence of a crash without a common cause with others.
     """
 
     number: int
--- a/spoolcrank/start_window.py
+++ b/spoolcrank/start_window.py
@@ -30,11 +30,11 @@
 one with answers after 5 ms."""
 
 MIN_WINDOW_BYTES = 8 * 1024
-"""Minimum of the window, in bytes: two starts of the largest payload. With less the link would be
+"""Minimum of the window, in bytes: two starts of the largest payload. With less, the link would be
 idle between them."""
 
 MAX_WINDOW_BYTES = 4 * 1024 * 1024
-"""Maximum of the window, in bytes: half a second of the largest instances' links (100 Mbit/s)."""
+"""Maximum of the window, in bytes: 0.34 s on the links of the largest instances (100 Mbit/s)."""
 
 BIND_AHEAD_FACTOR = 1.25
 """Multiple of the window for which tasks are bound. A larger factor would occupy runners for starts
@@ -47,7 +47,7 @@
 
 SHRINK_FACTOR = 0.7
 """Factor applied to the window after a late answer, at most once per round trip. The usual halving
-empties the queue that causes most of the delay, which leaves the link idle."""
+empties the queue that causes most of the delay, which would leave the link idle."""
 
 WINDOW_STEP_BYTES = MIN_WINDOW_BYTES
 """Bytes by which the window grows per round trip once it has been too large."""
@@ -58,11 +58,11 @@
 
 @dataclass(slots=True)
 class InFlightStart:
-    """A start in flight.
+    """A start that was sent and is not answered yet.
 
     Attributes:
-        size: the bytes that it counts for in the window.
-        sent_at: when it was sent, monotonic seconds.
+        size: the bytes that it counts for in the window; 0 once its runner is found silent.
+        sent_at: when it was sent, in monotonic seconds.
         zone: the availability zone of its runner.
     """
 
@@ -79,7 +79,7 @@
         waiting: runs whose record is stored, in the order of work.
         limit: maximum bytes in flight.
         held_back: whether tasks that could be placed wait for free space in the window.
-        last_turn_at: when a job last got a turn out of order, monotonic seconds.
+        last_turn_at: when a job last got a turn out of order, in monotonic seconds.
         zones: which availability zones answer.
     """
 
@@ -142,7 +142,7 @@
 
     def answered(self, task: TaskKey, run: int, took_s: float, now: float) -> None:
         """Record any kind of answer to a start, `took_s` after the start was sent."""
-        was_full = self._in_flight_bytes * 2 >= self.limit
+        was_half_full = self._in_flight_bytes * 2 >= self.limit
         start = self._remove_in_flight(task, run)
         if start is None:
             return
@@ -152,7 +152,7 @@
             return
         self._last_quick_answer_at = now
         self._discount_silent(start)
-        if was_full:
+        if was_half_full:
             growth = start.size if self._slow_start else WINDOW_STEP_BYTES * start.size / self.limit
             self.limit = min(MAX_WINDOW_BYTES, self.limit + growth)
 
@@ -190,7 +190,7 @@
         self.limit = max(MIN_WINDOW_BYTES, self.limit * SHRINK_FACTOR)
 
     def room(self, waiting_bytes: int, now: float) -> float:
-        """Return for how many bytes of starts further tasks may be bound.
+        """Return the size of the starts, in bytes, for which further tasks may be bound now.
 
         Tasks are bound for a quarter more than the window, so that the link is not idle while the
         store confirms their records.
--- a/spoolcrank/zone_silence.py
+++ b/spoolcrank/zone_silence.py
@@ -1,8 +1,9 @@
-"""Early detection of zones that accept no starts, from starts that are not answered there.
+"""Detect early that a zone accepts no starts, from starts that are not answered there.
 
-A poll at a busy runner waits for an end, so starts reveal a partition first. Where a link between
-regions is saturated, polls get through on the connections that they keep open, and starts do not. A
-single silent runner does not make its zone silent, because its neighbours answer.
+A poll at a busy runner waits until a run ends, so that unanswered starts reveal a partition first.
+Where a link between regions is saturated, polls get through on the connections that they keep open,
+and starts do not. A single silent runner does not make its zone silent, because its neighbours
+answer.
 """
 
 from dataclasses import dataclass, field
