--- a/spoolcrank/_standin_worker.py
+++ b/spoolcrank/_standin_worker.py
@@ -133,15 +133,15 @@
     def _fence(self, cmd: Fence, now: float) -> Refused | None:
         reason = ""
         if not isinstance(cmd, Adopt) and cmd.incarnation != self.incarnation:
-            reason = "the command is for another incarnation"
+            reason = "meant for another incarnation"
         elif cmd.epoch < self.epoch:
-            reason = "the epoch is lower than the accepted one"
+            reason = "lower epoch"
         elif cmd.epoch == self.epoch and self.owner and cmd.owner != self.owner:
-            reason = "the epoch belongs to another owner"
+            reason = "epoch taken by another owner"
         elif cmd.epoch == self.epoch and cmd.seq <= self.seq:
-            reason = "a later command has been received already"
+            reason = "overtaken by a later command"
         elif cmd.expires is not None and now > cmd.expires:
-            reason = "the command expired before it was received"
+            reason = "too long on its way"
         if not reason:
             return None
         return Refused(
--- a/spoolcrank/_web.py
+++ b/spoolcrank/_web.py
@@ -227,9 +227,7 @@
 
     def _check(self, incoming: _Incoming, data: bytes) -> Refusal | None:
         if incoming.size > MAX_BODY_BYTES + MAX_HEAD_BYTES:
-            return Refusal(
-                ErrorKind.TOO_LARGE, f"the body may have at most {MAX_BODY_BYTES} bytes", "body"
-            )
+            return Refusal(ErrorKind.TOO_LARGE, f"a body may have {MAX_BODY_BYTES} bytes", "body")
         if b"\r\n\r\n" in incoming.head:
             return None
         incoming.head += data
@@ -238,7 +236,7 @@
             if len(incoming.head) > MAX_HEAD_BYTES:
                 return Refusal(
                     ErrorKind.TOO_LARGE,
-                    f"the headers may have at most {MAX_HEAD_BYTES} bytes",
+                    f"headers may have {MAX_HEAD_BYTES} bytes",
                     "headers",
                 )
             return None
@@ -355,9 +353,7 @@
                 and not incoming.busy
                 and now - incoming.since > PARTIAL_REQUEST_TIMEOUT_S
             ):
-                refusal = Refusal(
-                    ErrorKind.BAD_REQUEST, "the request did not arrive completely in time"
-                )
+                refusal = Refusal(ErrorKind.BAD_REQUEST, "the request did not arrive whole in time")
                 self._refuse_raw(sock, refusal)
 
 
@@ -380,7 +376,7 @@
     if int(length) > MAX_BODY_BYTES:
         return Refusal(
             ErrorKind.TOO_LARGE,
-            f"the body may have at most {MAX_BODY_BYTES} bytes",
+            f"a body may have {MAX_BODY_BYTES} bytes",
             "content-length",
         )
     return None
--- a/spoolcrank/platform/clients.py
+++ b/spoolcrank/platform/clients.py
@@ -20,7 +20,7 @@
 
 _HEX = frozenset(string.hexdigits)
 _GONE = HttpReply(410, {}, b"")
-_LEAVING_DETAIL = "this instance is shutting down; the request was not sent to the store"
+_LEAVING_DETAIL = "this instance leaves; the store was not asked"
 
 
 class ClientApi:
@@ -63,7 +63,7 @@
         req = open_request.request
         table = self._routes()
         if table is None:
-            self._refuse(open_request, ErrorKind.NOT_READY, "no configuration has been read yet")
+            self._refuse(open_request, ErrorKind.NOT_READY, "no configuration was read yet")
             return
         route = _route(table, req)
         if route is None:
@@ -82,11 +82,11 @@
                 return
             version = table.version if table is not None else 0
             kind = ErrorKind.NO_SUCH_PATH if ok else ErrorKind.LOG_UNAVAILABLE
-            caveat = "" if ok else ", which may be out of date"
+            caveat = "" if ok else ", which may be old"
             self._refuse(
                 open_request,
                 kind,
-                f"no queue for this path in configuration version {version}{caveat}",
+                f"no queue in version {version}{caveat}",
             )
 
         open_request.waits = WaitReason.READ
@@ -98,9 +98,7 @@
         if not name and req.method == "GET":
             self._reply_waiting_count(open_request, route)
         elif not name or not _HEX.issuperset(name):
-            self._refuse(
-                open_request, ErrorKind.BAD_REQUEST, "the job id must consist of hexadecimal digits"
-            )
+            self._refuse(open_request, ErrorKind.BAD_REQUEST, "the id must be hex digits")
         else:
             self._on_job(open_request, route, JobId(name))
 
@@ -154,16 +152,14 @@
 
     def _refuse_not_stored(self, open_request: OpenRequest, outcome: IntakeOutcome) -> None:
         if outcome is IntakeOutcome.NOT_STORED:
-            self._refuse(
-                open_request, ErrorKind.LOG_UNAVAILABLE, "the store did not accept the record"
-            )
+            self._refuse(open_request, ErrorKind.LOG_UNAVAILABLE, "the store took no record")
         elif outcome is IntakeOutcome.LEAVING:
             self._refuse(open_request, ErrorKind.LEAVING, _LEAVING_DETAIL)
         else:
             self._refuse(
                 open_request,
                 ErrorKind.LOG_ANSWER_UNKNOWN,
-                "the store did not confirm the record, but may have stored it",
+                "the store may have it",
             )
 
     def _reply_state(self, open_request: OpenRequest, job: JobId) -> None:
@@ -209,7 +205,7 @@
                 self._refuse(
                     open_request,
                     ErrorKind.LOG_ANSWER_UNKNOWN,
-                    "the store did not confirm the record, but may have stored it",
+                    "the store may have it",
                 )
         return len(waiting)
 
--- a/spoolcrank/workflow.py
+++ b/spoolcrank/workflow.py
@@ -95,12 +95,12 @@
     def problem(self) -> str:
         """Return why the workflow must be rejected, or an empty string."""
         if not self.steps:
-            return "steps: must contain at least one step"
+            return "steps: at least one is needed"
         for number, step in enumerate(self.steps):
             if step.count < 1:
                 return f"steps.{number}.count: must be at least 1"
             if any(not 0 <= earlier < number for earlier in step.after):
-                return f"steps.{number}: must refer to earlier steps only"
+                return f"steps.{number}: may wait for earlier steps only"
         if not 0 <= self.rounds <= MAX_ROUNDS:
             return f"rounds: must be from 0 to {MAX_ROUNDS}"
         return ""
