--- a/bench/days.py
+++ b/bench/days.py
@@ -33,7 +33,7 @@
 
     name: str
     line: str
-    broken: list[str]
+    broken_rules: list[str]
 
 
 def build_day(name: str, troubles: list[dict[str, Any]], twice: bool) -> dict[str, Any]:
@@ -66,9 +66,9 @@
         )
     lines = (completed.stdout + completed.stderr).splitlines()
     day_lines = [line for line in lines if line.startswith(str(day["name"]))]
-    broken = [line for line in lines if line.startswith("rules broken")]
+    broken_rules = [line for line in lines if line.startswith("rules broken")]
     return PlayResult(
-        str(day["name"]), day_lines[0] if day_lines else "\n".join(lines[-3:]), broken
+        str(day["name"]), day_lines[0] if day_lines else "\n".join(lines[-3:]), broken_rules
     )
 
 
@@ -86,9 +86,9 @@
         results = list(pool.map(lambda day: play(bench, site, day, "days of our own"), days))
     for result in results:
         sys.stdout.write(f"{result.line[:150]}\n")
-        for line in result.broken:
+        for line in result.broken_rules:
             sys.stdout.write(f"    {line[:150]}\n")
-    return sum(1 for result in results if result.broken)
+    return sum(1 for result in results if result.broken_rules)
 
 
 if __name__ == "__main__":
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -41,7 +41,7 @@
         server = "backend-a1"
         owner = _owner(fleet, server)
         others = [fleet.entries[name].url for name in fleet.entries if name != owner]
-        appends = int(call("GET", f"{fleet.log.url}/stats").json()["appends"])
+        appends_before = int(call("GET", f"{fleet.log.url}/stats").json()["appends"])
         started_at = time.monotonic()
         job = {"name": "steady", "tasks": 2, "payload": {"run_s": 1.0}}
         plan = load.LoadPlan(others, SERVICE, REQUESTS_PER_S, 10.0, job_rate=3.0, job=job)
@@ -59,7 +59,7 @@
         load_thread.join()
         elapsed = time.monotonic() - started_at
         fleet.log_fault("ok")
-        append_count = int(call("GET", f"{fleet.log.url}/stats").json()["appends"]) - appends
+        append_count = int(call("GET", f"{fleet.log.url}/stats").json()["appends"]) - appends_before
         request_results = reports[0].request_results
         refused = sum(request.outcome != "ok" for request in request_results)
         return Takeover(
--- a/tests/fleet_store.py
+++ b/tests/fleet_store.py
@@ -21,7 +21,7 @@
     from tests.fleet_world import Instance, World
 
 ANSWER_S = 0.004
-CALL_S = 0.8
+CALL_TIMEOUT_S = 0.8
 MAX_READ_RECORDS = 6
 REMEMBERED_ANSWERS = 5
 """Number of a writer's last appends for which the store repeats its first answer."""
@@ -32,8 +32,8 @@
 
     def __init__(self, violations: list[str]) -> None:
         self.records: list[KeyedRecord] = []
-        self._broken = violations
-        self._done = CompletedWork()
+        self._violations = violations
+        self._completed_work = CompletedWork()
         self.first_retained_offset = 0
         self.epoch = 0
         self.sequence = 0
@@ -42,9 +42,9 @@
     def put(self, key: str, value: bytes) -> None:
         record = KeyedRecord(key, value, len(self.records))
         self.records.append(record)
-        self._broken += [
+        self._violations += [
             f"BACK {undone}, offset {record.offset}"
-            for undone in self._done.find_regressions(record)
+            for undone in self._completed_work.find_regressions(record)
         ]
 
     def append(self, append: Append) -> Appended:
@@ -115,10 +115,10 @@
         if self.instance.name in store.refused_instances:
             self._answer_after(store.answer_s, done, Appended(AppendOutcome.NOT_STORED))
         elif store.silent:
-            self._answer_after(CALL_S, done, unknown)
+            self._answer_after(CALL_TIMEOUT_S, done, unknown)
         elif world.random.random() < store.late_append_share:
             world.at(world.random.uniform(1, 6), lambda: self.topic.append(append))
-            self._answer_after(CALL_S, done, unknown)
+            self._answer_after(CALL_TIMEOUT_S, done, unknown)
         else:
             if append.fence is not None:
                 world.repeat_call(lambda: self.topic.append(append))
@@ -128,7 +128,7 @@
             def arrive() -> None:
                 answer = self.topic.append(append)
                 self._answer_after(
-                    CALL_S if is_answer_lost else store.answer_s / 2,
+                    CALL_TIMEOUT_S if is_answer_lost else store.answer_s / 2,
                     done,
                     unknown if is_answer_lost else answer,
                 )
@@ -137,13 +137,13 @@
 
     def read(self, from_offset: int, wait_ms: int, done: Callable[[Records], None]) -> None:
         if self._is_unreachable():
-            self._answer_after(CALL_S / 4, done, Records(ReadOutcome.FAILED))
+            self._answer_after(CALL_TIMEOUT_S / 4, done, Records(ReadOutcome.FAILED))
             return
         until = self.store.world.now + wait_ms / 1000
 
         def poll() -> None:
             if self._is_unreachable():
-                self._answer_after(CALL_S, done, Records(ReadOutcome.FAILED))
+                self._answer_after(CALL_TIMEOUT_S, done, Records(ReadOutcome.FAILED))
             elif from_offset < self.topic.first_retained_offset:
                 self._answer_after(self.store.answer_s, done, Records(ReadOutcome.EXPIRED))
             elif len(self.topic.records) > from_offset or self.store.world.now >= until:
@@ -160,7 +160,7 @@
 
     def newest(self, after_key: str, done: Callable[[NewestPage], None]) -> None:
         if self._is_unreachable():
-            self._answer_after(CALL_S / 4, done, NewestPage(False))
+            self._answer_after(CALL_TIMEOUT_S / 4, done, NewestPage(False))
             return
         page = [record for record in self.topic.newest() if record.key > after_key]
         answer = NewestPage(True, tuple(page[:7]), len(page) > 7, len(self.topic.records))
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -20,20 +20,10 @@
 from spoolcrank.keyed_log import KeyedRecord
 from spoolcrank.leadership import Leadership
 from spoolcrank.log_follower import LogFollower
-from spoolcrank.orders import (
-    EndKind,
-    OrderResult,
-)
+from spoolcrank.orders import EndKind, OrderResult
 from spoolcrank.platform.documents import runner_of
 from spoolcrank.runner_state import RunnerEntry
-from spoolcrank.workflow import (
-    Demand,
-    JobRecord,
-    RouteName,
-    Step,
-    TaskKey,
-    Workflow,
-)
+from spoolcrank.workflow import Demand, JobRecord, RouteName, Step, TaskKey, Workflow
 from tests.fleet_runners import Runner, RunnerPort
 from tests.fleet_store import Store, StorePort
 
@@ -106,8 +96,8 @@
         """Crash a runner and schedule its restart.
 
         The restarted runner has a new id, or with probability `keeps_id_share` its old one. Its
-        entry is removed after `ENTRY_LIFETIME_S`, unless a runner with the same id is back by
-        then; a share `early_restart_share` of the runners that keep their id restarts early.
+        entry is removed after `ENTRY_LIFETIME_S`, unless a runner with the same id has restarted
+        before that; a share `early_restart_share` of the runners that keep their id restarts early.
         """
         if not runner.alive:
             return
@@ -188,7 +178,7 @@
         return self.now - begun
 
     def carry_out_late(self, runner: "Runner", act: Callable[["Runner"], object]) -> None:
-        """Carry out an order long after it was sent, on the runner that has the id by then.
+        """Carry out an order long after it was sent, on the runner that has the id at that time.
 
         Unless `late_orders_outlive_restart` is set, the order is lost if the incarnation that it
         was sent to is gone.
@@ -203,12 +193,12 @@
             act(current_runner)
 
     def repeat_call(self, act: Callable[[], object]) -> None:
-        """Carry out a call a second time later, as can happen when a connection stops answering."""
+        """Carry out a call a second time later, as can happen when a connection stalls."""
         if self.repeated_call_share and self.random.random() < self.repeated_call_share:
             self.at(self.random.uniform(0.001, MAX_REPEAT_DELAY_S), act)
 
     def repeat_order(self, runner: "Runner", act: Callable[["Runner"], object]) -> None:
-        """Carry out an order a second time, on the runner that has the id by then."""
+        """Carry out an order a second time, on the runner that has the id at that time."""
         self.repeat_call(lambda: self._apply_to_current_runner(runner, act))
 
     def _tick(self) -> None:
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -65,12 +65,12 @@
 
 def concurrent_runs(spans: Mapping[str, list[Span]]) -> list[str]:
     """Report tasks of which two runs overlapped."""
-    found = []
+    violations = []
     for task, task_spans in spans.items():
         for earlier, next_run in pairwise(task_spans):
             if next_run.begin < earlier.end - TIMESTAMP_TOLERANCE_S:
-                found.append(f"TWICE {task}: {earlier} and {next_run}")
-    return found
+                violations.append(f"TWICE {task}: {earlier} and {next_run}")
+    return violations
 
 
 def starts_after_end(
@@ -83,13 +83,13 @@
         for _, kind, task, run, _ in _lines(incarnation)
         if kind == "noted"
     }
-    found = []
+    violations = []
     for task, run in acknowledged:
         ends = [span.end for span in spans[task] if span.how == "done" and span.run == run]
         done_at = min(ends)
         late_starts = [span for span in spans[task] if span.begin > done_at]
-        found += [f"TWICE {task}: {span} after its end at {done_at}" for span in late_starts]
-    return found
+        violations += [f"TWICE {task}: {span} after its end at {done_at}" for span in late_starts]
+    return violations
 
 
 def unrequested_runs(
@@ -101,25 +101,25 @@
 
     A cancel counts only if no fault was active from its acknowledgement to the start of the run.
     """
-    found = []
+    violations = []
     for task, task_spans in spans.items():
         job = jobs.get(task.split(".")[0])
         for span in task_spans:
             if job is None or span.spec != job.spec:
-                found.append(f"UNASKED {task}: {span}")
+                violations.append(f"UNASKED {task}: {span}")
             elif job.certainly_refused:
-                found.append(f"REFUSED {task}: {span} {job}")
+                violations.append(f"REFUSED {task}: {span} {job}")
             elif job.cancelled_at is not None and span.begin > job.cancelled_at + CANCEL_EFFECT_S:
                 if any(
                     begin <= job.cancelled_at and span.begin <= end for begin, end in calm_periods
                 ):
-                    found.append(f"UNASKED {task}: {span} cancelled at {job.cancelled_at}")
-    return found
+                    violations.append(f"UNASKED {task}: {span} cancelled at {job.cancelled_at}")
+    return violations
 
 
 def out_of_order_runs(spans: Mapping[str, list[Span]]) -> list[str]:
     """Report runs of a second step that began before all tasks of the first step were done."""
-    found = []
+    violations = []
     done_at: dict[tuple[str, str], float] = {}
     for task, task_spans in spans.items():
         job, _, step, index = task.split(".")
@@ -134,5 +134,5 @@
         first_step_ends = [done_at.get((job, str(index))) for index in range(width)]
         last_end = max((at for at in first_step_ends if at is not None), default=0.0)
         if None in first_step_ends or task_spans[0].begin < last_end - TIMESTAMP_TOLERANCE_S:
-            found.append(f"ORDER {task}: {task_spans[0]} before {first_step_ends}")
-    return found
+            violations.append(f"ORDER {task}: {task_spans[0]} before {first_step_ends}")
+    return violations
--- a/tests/soak/mutant.py
+++ b/tests/soak/mutant.py
@@ -33,17 +33,17 @@
 
 
 def _record_before_forgetting() -> None:
-    take_end = run_control._handle_end
+    handle_end = run_control._handle_end
 
     def forget(state: Any, runner: RunnerState, row: Any, now: float) -> None:
-        take_end(state, runner, row, now)
+        handle_end(state, runner, row, now)
         runner.seen = runner.seen_next
 
     _replace(run_control, "_handle_end", forget)
 
 
 def _unknown_append() -> None:
-    def refuse(self: Any, batch: Any, got: Any) -> None:
+    def refuse(self: Any, batch: Any, appended: Any) -> None:
         for waiting in batch:
             waiting.done(IntakeOutcome.NOT_STORED)
 
--- a/tests/soak/runner.py
+++ b/tests/soak/runner.py
@@ -2,8 +2,8 @@
 
 `python -m tests.soak.runner ID BORN PORT JOURNAL MILLICORES WORK_S` prints its address. A later
 incarnation may have the ID and the PORT of an earlier one; BORN, the start in Unix milliseconds,
-distinguishes them. The journal remains when the process is killed. Each of its lines is
-`[time, kind, task, run, what]`, with the time of the host's monotonic clock, which all processes
+distinguishes them. The journal remains when the process is killed. Each of its lines is `[time,
+kind, task, run, detail]`; the time is that of the host's monotonic clock, which all processes
 share.
 """
 
--- a/tests/stored_progress.py
+++ b/tests/stored_progress.py
@@ -26,12 +26,16 @@
             # The record is of another writer. A leader ignores such a job, so it is not checked.
             return []
         tasks = {
-            TaskKey(job, mark.round, mark.step, task.index)
-            for mark in progress.steps
-            for task in mark.tasks
+            TaskKey(job, stored_step.round, stored_step.step, task.index)
+            for stored_step in progress.steps
+            for task in stored_step.tasks
             if task.phase == Phase.DONE.value
         }
-        steps = {(job, mark.round, mark.step) for mark in progress.steps if mark.done}
+        steps = {
+            (job, stored_step.round, stored_step.step)
+            for stored_step in progress.steps
+            if stored_step.done
+        }
         regressions = self._compare_with_previous(job, progress, tasks, steps)
         self._tasks[job], self._steps[job] = tasks, steps
         self._rounds[job] = progress.rounds_done
--- a/tests/test_claiming.py
+++ b/tests/test_claiming.py
@@ -57,20 +57,18 @@
     return leadership
 
 
-@pytest.mark.parametrize(("lives", "claims"), [(False, 1), (True, 0)])
-def test_a_claimant_that_reads_a_sign_of_life_first_does_not_claim(
-    lives: bool, claims: int
-) -> None:
+@pytest.mark.parametrize(("wrote", "claims"), [(False, 1), (True, 0)])
+def test_a_claimant_that_reads_a_heartbeat_first_does_not_claim(wrote: bool, claims: int) -> None:
     """Followers read late, so a leader that seems silent may have written in the meantime."""
     leadership = _silent_leader()
     log: Any = _Log()
-    follower: Any = _Follower(lambda: leadership.record_leader_write(NOW) if lives else None)
+    follower: Any = _Follower(lambda: leadership.record_leader_write(NOW) if wrote else None)
     logged: Any = LogRecorder()
     Claiming(leadership, log, follower, logged, lambda: NOW).claim_or_offer(NOW)
     assert len(log.appends) == claims
 
 
-def test_a_smaller_instance_waits_out_all_that_may_hold_a_large_one_up() -> None:
+def test_a_smaller_instance_waits_longer_than_a_large_one_may_be_delayed() -> None:
     assert SMALLER_INSTANCE_DELAY_S >= CLAIM_JITTER_S + LAZY_READ_DELAY_S + TICK_S
 
 
@@ -87,7 +85,7 @@
     world = small_world(instances=2)
     leader = world.leader()
     assert leader is not None
-    other = next(one for one in world.instances.values() if one is not leader)
+    other = next(instance for instance in world.instances.values() if instance is not leader)
     world.run(2.0)
     world.store.slow_reads_s[other.name] = 0.6
     leader.kill()
@@ -96,7 +94,7 @@
     assert other.leadership.extends_until < world.now - 0.5 + SELF_FENCE_S
 
 
-def test_the_first_offer_that_is_read_names_the_heir() -> None:
+def test_the_first_offer_that_is_read_names_the_successor() -> None:
     """A second successor would claim at the same time, and the others would wait for both."""
     world = small_world(instances=3)
     leader = world.leader()
@@ -106,10 +104,10 @@
         offer = Offer(InstanceId(name), Incarnation(f"{name}-1"), 50.0)
         world.store.jobs.put(OFFER_KEY, encode(offer))
     world.run_until(lambda: leader.dispatcher.scheduler is None)
-    claims = [one for one in world.store.jobs.records if one.key == LEADER_KEY]
-    resigned = [decode_claim(one.value) for one in claims]
-    heirs = [one.successor for one in resigned if one.resigned]
-    assert heirs == [Incarnation("large-1-1")]
+    claims = [record for record in world.store.jobs.records if record.key == LEADER_KEY]
+    resigned = [decode_claim(record.value) for record in claims]
+    successors = [claim.successor for claim in resigned if claim.resigned]
+    assert successors == [Incarnation("large-1-1")]
 
 
 def test_a_pass_in_parts_goes_on_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -141,7 +141,7 @@
 
 
 def _partition_from_all(world: World, runner: Runner) -> None:
-    """The runner lives, but neither an instance nor the store can reach it for a while."""
+    """The runner keeps running, but neither an instance nor the store can reach it for a while."""
     world.unreachable |= {(name, runner.name) for name in world.instances}
     world.run(1.0)
     world.store.entries.put(runner.id, b"")
@@ -196,7 +196,7 @@
     assert world.violations == []
 
 
-def test_a_suspect_that_lives_on_is_cleared() -> None:
+def test_a_suspect_that_keeps_running_is_cleared() -> None:
     world, leader, runner = _running()
     _crash(world, runner)
     assert len(_crashes(leader)) == 1
@@ -275,7 +275,7 @@
     step.tasks[stored.index].crashes = ()
 
 
-def _guilty_after_two(entries: tuple[CrashEvidence, ...], per_s: float) -> bool:
+def _causes_crashes_after_two(entries: tuple[CrashEvidence, ...], per_s: float) -> bool:
     return len(entries) >= 2
 
 
@@ -324,7 +324,7 @@
         test_sound_work_survives_a_period_of_ordinary_crashes as play,
     )
 
-    monkeypatch.setattr(runner_loss, "causes_crashes", _guilty_after_two)
+    monkeypatch.setattr(runner_loss, "causes_crashes", _causes_crashes_after_two)
     with pytest.raises(AssertionError):
         for seed in range(10):
             play(seed)
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -2,13 +2,13 @@
 
 They guard against a crash-causing task that is started again without limit. Only ends that runners
 list were counted as failures: a run that was lost with its runner put its task back to waiting, the
-same pass bound it again in the same millisecond, and neither the task nor its stored progress held
-a trace of the crash. A kind of end that is not counted may repeat without limit, and here each
-repeat costs other tasks a runner. Two tasks were started more than thirty times each, and each
-start took away a runner for about 3 s with the 5 to 18 runs on it. A sound task that was released
-together with a crash-causing one, and started beside it again, was lost with four runners in a row.
-Without crash evidence, six of six of these simulations exceed the limit, with up to 11 starts after
-the third crash under one leader.
+same placing pass bound it again in the same millisecond, and neither the task nor its stored
+progress held a trace of the crash. A kind of end that is not counted may repeat without limit, and
+here each repeat costs other tasks a runner. Two tasks were started more than thirty times each, and
+each start took away a runner for about 3 s with the 5 to 18 runs on it. A sound task that was
+released together with a crash-causing one, and started beside it again, was lost with four runners
+in a row. Without crash evidence, six of six of these simulations exceed the limit, with up to 11
+starts after the third crash under one leader.
 """
 
 import pytest
@@ -23,7 +23,7 @@
 WIDE = Step(count=3, millicores=1000, memory_mb=100, estimate_ms=600)
 LAST = Step(count=2, millicores=1000, memory_mb=100, estimate_ms=600, after=(0,))
 ONE = Step(count=1, millicores=1000, memory_mb=100, estimate_ms=600)
-SOUND = 80
+SOUND_JOBS = 80
 EVERY_S = 0.5
 SETTLE_S = 25.0
 SETTLE_AFTER_KILLS_S = 45.0
@@ -46,13 +46,13 @@
     Return the world, the ids of the accepted sound jobs, and the ids of the crash-causing jobs.
     """
     world = small_world(instances=INSTANCES, runners=RUNNERS, seed=seed)
-    bad = ["bad0", "bad1"]
-    world.crashing = dict.fromkeys(bad, CRASH_WITHIN_S)
-    outcomes = {f"{number:04x}": list[IntakeOutcome]() for number in range(SOUND)}
+    crash_causing = ["bad0", "bad1"]
+    world.crashing = dict.fromkeys(crash_causing, CRASH_WITHIN_S)
+    outcomes = {f"{number:04x}": list[IntakeOutcome]() for number in range(SOUND_JOBS)}
     killed_at = world.now
     for number, job in enumerate(outcomes):
         if number in (8, 24):
-            _instance(world).submit(bad[number // 16], ONE, max_attempts=9)
+            _instance(world).submit(crash_causing[number // 16], ONE, max_attempts=9)
         _instance(world).submit(job, WIDE, LAST, max_attempts=9, outcomes=outcomes[job])
         world.run(EVERY_S)
         if kill_every_s and world.now - killed_at >= kill_every_s:
@@ -60,7 +60,11 @@
             _replace_leader(world, number)
     world.run(SETTLE_AFTER_KILLS_S if kill_every_s else SETTLE_S)
     # A client that got no answer because the instance was killed has no claim to a result.
-    return world, [job for job, got in outcomes.items() if IntakeOutcome.STORED in got], bad
+    return (
+        world,
+        [job for job, job_outcomes in outcomes.items() if IntakeOutcome.STORED in job_outcomes],
+        crash_causing,
+    )
 
 
 def _instance(world: World):  # type: ignore[no-untyped-def]
@@ -81,7 +85,7 @@
 
 def _check(world: World, sound: list[str], bad: list[str]) -> None:
     assert world.violations == []
-    assert len(sound) > SOUND * 0.9
+    assert len(sound) > SOUND_JOBS * 0.9
     starts = [world.starts_after_crashes(TaskKey(JobId(job), 0, 0, 0), 3) for job in bad]
     assert max(starts) <= MAX_STARTS, f"starts after the third crash: {starts}"
     assert _phases(world, sound) == [JobPhase.COMPLETED] * len(sound)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -11,12 +11,12 @@
 from tests.fleet_world import World, small_world
 
 QUICK = Step(count=3, millicores=1000, memory_mb=100, estimate_ms=600)
-AFTER = Step(count=2, millicores=1000, memory_mb=100, estimate_ms=600, after=(0,))
+SECOND_STEP = Step(count=2, millicores=1000, memory_mb=100, estimate_ms=600, after=(0,))
 
 
 def phase(world: World, job: str) -> JobPhase | None:
-    one = next(iter(world.instances.values()))
-    return one.index.phase(JobId(job))
+    instance = next(iter(world.instances.values()))
+    return instance.index.phase(JobId(job))
 
 
 def has_leader(world: World) -> bool:
@@ -36,13 +36,14 @@
 
 def test_steps_run_in_order_and_the_job_completes_at_every_instance() -> None:
     world = small_world()
-    told = world.instances["entry-0"].submit("a1", QUICK, AFTER)
+    outcomes = world.instances["entry-0"].submit("a1", QUICK, SECOND_STEP)
     took_s = settle(world, "a1")
-    assert told == [IntakeOutcome.STORED]
+    assert outcomes == [IntakeOutcome.STORED]
     assert took_s < 2.2
     world.run(1.0)
     assert all(
-        one.index.phase(JobId("a1")) is JobPhase.COMPLETED for one in world.instances.values()
+        instance.index.phase(JobId("a1")) is JobPhase.COMPLETED
+        for instance in world.instances.values()
     )
     assert world.violations == []
 
@@ -50,7 +51,7 @@
 def test_a_dead_leaders_runs_are_taken_over_and_nothing_runs_twice() -> None:
     world = small_world()
     for number in range(6):
-        world.instances["entry-0"].submit(f"a{number}", QUICK, AFTER)
+        world.instances["entry-0"].submit(f"a{number}", QUICK, SECOND_STEP)
     world.run(0.5)
     leader = world.leader()
     assert leader is not None
@@ -64,7 +65,7 @@
 def test_the_next_process_of_the_leaders_instance_claims_without_waiting_for_silence() -> None:
     """After a total power loss nothing started for another 1.4 s, though the leader was gone."""
     world = small_world()
-    world.instances["entry-0"].submit("a1", QUICK, AFTER)
+    world.instances["entry-0"].submit("a1", QUICK, SECOND_STEP)
     world.run(0.5)
     leader = world.leader()
     assert leader is not None
@@ -79,7 +80,7 @@
 def test_a_leader_that_freezes_and_wakes_does_no_harm() -> None:
     world = small_world()
     for number in range(6):
-        world.instances["entry-0"].submit(f"a{number}", QUICK, AFTER)
+        world.instances["entry-0"].submit(f"a{number}", QUICK, SECOND_STEP)
     for _ in range(4):
         world.run(0.4)
         leader = world.leader()
@@ -102,11 +103,11 @@
     instance.kill()
     second = world.add_instance("entry-9")
     world.run(0.5)
-    told: list[object] = []
-    second.intake.cancel(JobId("b1"), told.append)
+    outcomes: list[object] = []
+    second.intake.cancel(JobId("b1"), outcomes.append)
     world.run_until(lambda: world.leader() is not None)
     world.run(3.0)
-    assert told == [IntakeOutcome.STORED]
+    assert outcomes == [IntakeOutcome.STORED]
     assert all(not runner.tasks for runner in world.runners.values())
     assert world.violations == []
 
@@ -114,8 +115,8 @@
 def test_a_run_on_a_silent_runner_restarts_only_after_every_lease_has_passed() -> None:
     world = small_world()
     runner = next(iter(world.runners.values()))
-    for one in world.runners.values():
-        one.work_s = 60.0
+    for candidate in world.runners.values():
+        candidate.work_s = 60.0
     world.instances["entry-0"].submit("c1", Step(count=8, millicores=1000, memory_mb=100))
     world.run(1.0)
     assert runner.tasks
@@ -123,40 +124,42 @@
         world.unreachable.add((name, runner.name))
     world.run(12.0)
     assert not runner.tasks
-    assert sum(len(one.tasks) for one in world.runners.values()) == 8
+    assert sum(len(candidate.tasks) for candidate in world.runners.values()) == 8
     assert world.violations == []
 
 
-def test_tasks_live_through_six_seconds_behind_a_cut() -> None:
+def test_tasks_survive_a_partition_of_six_seconds() -> None:
     """All tasks of a zone partitioned for 5.3 to 6.3 s lapsed just before the partition ended."""
     world = small_world()
-    cut_off = next(iter(world.runners.values()))
-    for one in world.runners.values():
-        one.work_s = 60.0
+    partitioned = next(iter(world.runners.values()))
+    for runner in world.runners.values():
+        runner.work_s = 60.0
     world.instances["entry-0"].submit("c1", Step(count=8, millicores=1000, memory_mb=100))
     world.run(1.5)
-    behind = set(cut_off.tasks)
-    assert behind
-    links = {(name, cut_off.name) for name in world.instances}
+    running = set(partitioned.tasks)
+    assert running
+    links = {(name, partitioned.name) for name in world.instances}
     world.unreachable |= links
     world.run(6.0)
     world.unreachable -= links
     world.run(2.0)
-    assert set(cut_off.tasks) == behind
-    assert all(len(world.starts[key]) == 1 for key in behind)
+    assert set(partitioned.tasks) == running
+    assert all(len(world.starts[key]) == 1 for key in running)
     assert world.violations == []
 
 
-def test_a_runner_that_comes_back_as_another_life_frees_its_runs_at_once() -> None:
+def test_a_restarted_runner_frees_the_runs_of_its_earlier_incarnation_at_once() -> None:
     world = small_world()
     runner = next(iter(world.runners.values()))
-    for one in world.runners.values():
-        one.work_s = 60.0
+    for candidate in world.runners.values():
+        candidate.work_s = 60.0
     world.instances["entry-0"].submit("c1", Step(count=8, millicores=1000, memory_mb=100))
     world.run(1.0)
     runner.crash()
     world.add_runner(runner.name)
-    took_s = world.run_until(lambda: sum(len(one.tasks) for one in world.runners.values()) == 8)
+    took_s = world.run_until(
+        lambda: sum(len(candidate.tasks) for candidate in world.runners.values()) == 8
+    )
     assert took_s < 2.5
     assert world.violations == []
 
@@ -169,7 +172,7 @@
         world.store.late_append_share = 0.05
         names = [f"d{number}" for number in range(8)]
         for name in names:
-            world.instances["entry-1"].submit(name, QUICK, AFTER)
+            world.instances["entry-1"].submit(name, QUICK, SECOND_STEP)
             world.run(0.2)
         leader = world.leader()
         if leader is not None and seed % 2:
@@ -177,37 +180,37 @@
         world.run(10.0)
         world.late_order_share = 0.0
         world.store.lost_append_answer_share = world.store.late_append_share = 0.0
-        kept = [name for name in names if phase(world, name) is not None]
-        settle(world, *kept, limit_s=40.0)
+        accepted = [name for name in names if phase(world, name) is not None]
+        settle(world, *accepted, limit_s=40.0)
         assert world.violations == []
 
 
-def test_a_leader_that_the_store_turns_away_is_replaced() -> None:
+def test_a_leader_that_the_store_refuses_is_replaced() -> None:
     world = small_world()
     leader = world.leader()
     assert leader is not None
     world.store.refused_instances.add(leader.name)
-    others = [one for one in world.instances.values() if one is not leader]
-    took_s = world.run_until(lambda: any(one.dispatcher.scheduler for one in others))
+    others = [instance for instance in world.instances.values() if instance is not leader]
+    took_s = world.run_until(lambda: any(instance.dispatcher.scheduler for instance in others))
     assert took_s < 4.0
-    told = others[0].submit("e1", QUICK)
+    outcomes = others[0].submit("e1", QUICK)
     settle(world, "e1") if phase(world, "e1") else world.run(3.0)
-    assert told == [IntakeOutcome.STORED]
+    assert outcomes == [IntakeOutcome.STORED]
     assert leader.dispatcher.scheduler is None
     assert world.violations == []
 
 
-def test_tasks_live_through_seven_seconds_without_the_store() -> None:
+def test_tasks_survive_seven_seconds_without_the_store() -> None:
     world = small_world()
-    for one in world.runners.values():
-        one.work_s = 12.0
+    for runner in world.runners.values():
+        runner.work_s = 12.0
     world.instances["entry-0"].submit("f1", Step(count=4, millicores=1000, memory_mb=100))
     world.run(1.0)
     world.store.silent = True
     world.run(7.0)
     world.store.silent = False
     world.run(0.5)
-    assert sum(len(one.tasks) for one in world.runners.values()) == 4
+    assert sum(len(runner.tasks) for runner in world.runners.values()) == 4
     settle(world, "f1")
     assert world.violations == []
 
@@ -232,7 +235,7 @@
     assert phase(world, "aa") is None
 
 
-def test_a_counted_task_that_stands_still_starts_elsewhere_after_a_report() -> None:
+def test_a_counted_task_without_progress_starts_elsewhere_after_a_report() -> None:
     """A short job waited 2.5 s or more for a task that made no progress."""
     world = small_world()
     next(iter(world.runners.values())).hangs = True
@@ -244,8 +247,8 @@
 
 def test_jobs_fail_after_their_attempts_and_not_before() -> None:
     world = small_world()
-    for one in world.runners.values():
-        one.fails = True
+    for candidate in world.runners.values():
+        candidate.fails = True
     world.instances["entry-0"].submit("9a", Step(count=1, millicores=100), max_attempts=3)
     world.run_until(lambda: phase(world, "9a") is JobPhase.FAILED, 40.0)
     starts = sum(runner.ends for runner in world.runners.values())
@@ -256,16 +259,16 @@
     world = small_world()
     leader = world.leader()
     assert leader is not None
-    left: list[bool] = []
-    leader.dispatcher.leave(lambda: left.append(True))
+    departures: list[bool] = []
+    leader.dispatcher.leave(lambda: departures.append(True))
     took_s = world.run_until(
         lambda: world.leader() is not None and world.leader() is not leader, 5.0
     )
-    assert left == [True]
+    assert departures == [True]
     assert took_s < 1.2
 
 
-def test_a_log_that_forgot_its_history_is_read_anew() -> None:
+def test_a_log_that_dropped_its_history_is_read_again() -> None:
     world = small_world()
     world.instances["entry-0"].submit("ab", QUICK)
     world.run(0.3)
@@ -279,25 +282,25 @@
 
 def test_lasting_tasks_leave_a_leaving_runner_before_it_ends() -> None:
     world = small_world()
-    for one in world.runners.values():
-        one.work_s = 1000.0
+    for candidate in world.runners.values():
+        candidate.work_s = 1000.0
     world.instances["entry-0"].submit(
         "ba", Step(count=8, millicores=1000, memory_mb=100, lasting=True)
     )
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     world.store.entries.put(runner.id, b"draining")
     world.run(2.0)
     assert not runner.tasks
-    assert sum(len(one.tasks) for one in world.runners.values()) == 8
+    assert sum(len(candidate.tasks) for candidate in world.runners.values()) == 8
     assert world.violations == []
 
 
 def test_lasting_tasks_that_fit_nowhere_keep_none_behind_them_waiting() -> None:
     """After three steps of an image could not be placed, a fourth that fitted was not tried."""
     world = small_world(runners=2)
-    for one in world.runners.values():
-        one.work_s = 1000.0
+    for runner in world.runners.values():
+        runner.work_s = 1000.0
     lasting = Step(count=1, millicores=7000, memory_mb=100, lasting=True, image="s")
     for number in range(6):
         world.instances["entry-0"].submit(f"c{number}", lasting)
@@ -355,7 +358,7 @@
 
 
 def test_a_task_that_ran_before_waits_behind_none_of_its_step() -> None:
-    """It waited behind tasks that the reserve held back, and its job counted as lost."""
+    """Such a task waited behind tasks that the reserve held back, and its job counted as lost."""
     world = small_world(runners=1)
     runner = next(iter(world.runners.values()))
     runner.work_s = 1000.0
@@ -375,7 +378,7 @@
     assert key in runner.tasks
 
 
-def test_what_a_leader_learnt_of_pairs_outlives_it() -> None:
+def test_learned_pairs_survive_a_change_of_leader() -> None:
     world = small_world()
     leader = world.leader()
     assert leader is not None and leader.dispatcher.scheduler is not None
@@ -392,13 +395,13 @@
 
 
 def test_the_leader_hands_over_to_a_much_larger_instance() -> None:
-    """On a large deployment a small instance led, was always busy, and starts came 1 s late."""
+    """In a large deployment a small instance led and was always busy, so starts came 1 s late."""
     world = small_world()
     world.add_instance("large", processors=4.0)
     world.add_instance("larger-by-little", processors=4.4)
     for number in range(6):
-        world.instances["entry-0"].submit(f"a{number}", QUICK, AFTER)
-    world.run_until(lambda: (one := world.leader()) is not None and "large" in one.name, 12.0)
+        world.instances["entry-0"].submit(f"a{number}", QUICK, SECOND_STEP)
+    world.run_until(lambda: (leader := world.leader()) is not None and "large" in leader.name, 12.0)
     settle(world, *(f"a{number}" for number in range(6)))
     first = world.leader()
     world.run(20.0)
@@ -406,7 +409,7 @@
     assert world.violations == []
 
 
-def test_an_instance_that_is_handed_the_lead_but_dies_is_replaced() -> None:
+def test_a_successor_that_dies_is_replaced() -> None:
     world = small_world()
     large = world.add_instance("large", processors=4.0)
     world.run_until(lambda: large.leadership.leads, 12.0)
@@ -415,8 +418,8 @@
     assert took_s < 3.0
 
 
-def test_a_leader_that_reads_its_log_anew_hands_over_to_nobody_that_is_gone() -> None:
-    """It read an offer of an instance that had led and died since, and resigned in its favour."""
+def test_a_leader_that_reloads_its_log_does_not_hand_over_to_a_dead_instance() -> None:
+    """It read an offer of an instance that had since led and died, and resigned in its favour."""
     world = small_world()
     large = world.add_instance("large", processors=4.0)
     world.run_until(lambda: large.leadership.leads, 12.0)
@@ -432,11 +435,11 @@
     assert [name for name, _ in leader.logged.lines].count("hands-over") == before
 
 
-def test_lasting_tasks_leave_a_runner_whose_entry_went_without_a_word() -> None:
-    """Some runners leave unannounced; their tasks stayed on them until the runners ended."""
+def test_lasting_tasks_leave_a_runner_whose_entry_was_removed_without_notice() -> None:
+    """Some runners leave without notice; their tasks stayed on them until the runners ended."""
     world = small_world()
-    for one in world.runners.values():
-        one.work_s = 1000.0
+    for candidate in world.runners.values():
+        candidate.work_s = 1000.0
     lasting = Step(count=8, millicores=1000, memory_mb=100, lasting=True)
     world.instances["entry-0"].submit("e1", lasting)
     runner = next(iter(world.runners.values()))
@@ -448,10 +451,10 @@
     assert world.violations == []
 
 
-def test_an_entry_that_lapsed_with_the_store_has_two_seconds_to_come_back() -> None:
+def test_an_entry_removed_during_a_store_outage_may_return_within_two_seconds() -> None:
     world = small_world()
-    for one in world.runners.values():
-        one.work_s = 1000.0
+    for candidate in world.runners.values():
+        candidate.work_s = 1000.0
     lasting = Step(count=8, millicores=1000, memory_mb=100, lasting=True)
     world.instances["entry-0"].submit("e1", lasting)
     runner = next(iter(world.runners.values()))
@@ -469,7 +472,7 @@
     assert world.violations == []
 
 
-def test_a_state_is_told_only_from_a_copy_that_has_caught_up() -> None:
+def test_a_job_state_is_reported_only_from_an_up_to_date_copy() -> None:
     """A slow instance kept reading the same large part; one part must not count as up to date."""
     world = small_world()
     reader = world.instances["entry-1"]
@@ -479,16 +482,16 @@
     world.run(0.5)
     world.store.refused_instances = set()
     world.run_until(lambda: reader.follower.contact)
-    told: list[object] = []
+    states: list[object] = []
     for number in range(12):
-        reader.intake.state(JobId(f"f{number}"), told.append)
+        reader.intake.state(JobId(f"f{number}"), states.append)
     world.run(0.5)
-    assert len(told) == 12
-    assert all(isinstance(one, JobPhase) for one in told)
+    assert len(states) == 12
+    assert all(isinstance(state, JobPhase) for state in states)
 
 
 def test_a_large_instance_claims_before_small_ones_after_any_death() -> None:
-    """Small leaders of a large fleet were too busy to send heartbeats, one after the other."""
+    """Small instances led a large fleet one after the other, each too busy to send heartbeats."""
     for seed in range(5):
         world = small_world(seed=seed)
         for name in ("large", "spare"):
@@ -509,11 +512,13 @@
     world.run_until(lambda: world.leader() is not None)
     scheduler = next(iter(world.instances.values())).dispatcher.scheduler
     assert scheduler is not None
-    most = 0
+    max_polled = 0
     for _ in range(40):
         world.run(0.002)
-        asked = [one for one in scheduler.runners.values() if one.polling and not one.adopted]
-        most = max(most, len(asked))
+        polled = [
+            runner for runner in scheduler.runners.values() if runner.polling and not runner.adopted
+        ]
+        max_polled = max(max_polled, len(polled))
     world.run(1.0)
-    assert 0 < most <= MAX_CONCURRENT_FIRST_POLLS
-    assert all(one.adopted for one in scheduler.runners.values())
+    assert 0 < max_polled <= MAX_CONCURRENT_FIRST_POLLS
+    assert all(runner.adopted for runner in scheduler.runners.values())
--- a/tests/test_emptied_zones.py
+++ b/tests/test_emptied_zones.py
@@ -28,7 +28,7 @@
     return world
 
 
-def _empty(world: World, *zones: AvailabilityZone) -> None:
+def _evacuate(world: World, *zones: AvailabilityZone) -> None:
     for instance in world.instances.values():
         instance.dispatcher.evacuate_zones(frozenset(zones))
 
@@ -52,11 +52,11 @@
 
 
 @pytest.mark.parametrize("takeover", [False, True], ids=["one leader", "the next leader too"])
-def test_nothing_starts_in_a_zone_that_is_emptied(takeover: bool) -> None:
+def test_nothing_starts_in_an_evacuated_zone(takeover: bool) -> None:
     world = _world()
     _submit(world, 2.0)
     assert _starts_there(world) > 0
-    _empty(world, ZONE)
+    _evacuate(world, ZONE)
     world.run(SOON_S)
     before = _starts_there(world)
     if takeover:
@@ -82,10 +82,10 @@
     next(iter(world.instances.values())).submit("aaaa", LASTING)
     world.run(2.0)
     runs = {key: set(ids) for key, ids in world.running_on.items()}
-    _empty(world, ZONE)
+    _evacuate(world, ZONE)
     world.run(8.0)
     assert {key: set(ids) for key, ids in world.running_on.items()} == runs
-    _empty(world)
+    _evacuate(world)
     before = _starts_there(world)
     _submit(world, 3.0)
     assert _starts_there(world) > before
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -1,7 +1,7 @@
 """A hypothesis state machine that runs the product's own parts under random faults.
 
 It guards against tasks that run twice, accepted jobs that get lost, refused jobs that run, and
-tasks that crash more runners than allowed. They come about when several faults meet: an instance
+tasks that crash more runners than allowed. They can occur when several faults coincide: an instance
 is killed or frozen, a runner is partitioned or restarted, or the store loses answers, while orders
 and records are in flight. A second test removes one mechanism at a time and requires that the
 state machine detects it.
@@ -421,9 +421,9 @@
     owner, attribute, replacement = MUTATIONS[name]
     if attribute == "IntakeOutcome":
 
-        def try_again(self: Any, batch: Any, got: Any) -> None:
-            for one in batch:
-                one.done(IntakeOutcome.NOT_STORED)
+        def try_again(self: Any, batch: Any, appended: Any) -> None:
+            for entry in batch:
+                entry.done(IntakeOutcome.NOT_STORED)
 
         monkeypatch.setattr(job_intake.JobIntake, "_try_again", try_again)
     else:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -52,8 +52,8 @@
     results: list[HttpResult] = []
     answered = threading.Event()
 
-    def done(got: HttpResult) -> None:
-        results.append(got)
+    def done(result: HttpResult) -> None:
+        results.append(result)
         answered.set()
 
     call = HttpCall(Address(f"127.0.0.1:{port}"), "GET", "/", {}, b"", timeout_s, max_pause_s)
@@ -138,8 +138,8 @@
         results: list[HttpResult] = []
         answered = threading.Event()
 
-        def done(got: HttpResult) -> None:
-            results.append(got)
+        def done(result: HttpResult) -> None:
+            results.append(result)
             if len(results) == count:
                 answered.set()
 
@@ -163,7 +163,7 @@
     """Each of them would make one more call wait for its full timeout, seconds in a row."""
     server = SilentAfterFirst(3)
     client = Client(server.address)
-    assert all(got.ok for got in client.together(3, WAIT_S))
+    assert all(result.ok for result in client.together(3, WAIT_S))
     assert client.call(PAUSE_S).failed is CallFailure.TIMED_OUT
     assert client.call(WAIT_S).ok
     client.close()
@@ -181,7 +181,7 @@
 
 
 def test_a_call_over_a_new_connection_is_not_sent_twice() -> None:
-    """A server that is merely slow, or has stopped, must not get a second call."""
+    """A server that is only slow, or that has stopped, must not receive a second call."""
     server = SilentAfterFirst(0)
     client = Client(server.address)
     assert client.call(WAIT_S, resend_after_s=0.0).ok
@@ -190,21 +190,21 @@
     server.close()
 
 
-def test_a_call_sent_twice_without_an_answer_says_that_it_may_have_been_taken() -> None:
+def test_a_call_sent_twice_without_an_answer_may_have_been_received() -> None:
     server = SilentAfterFirst(1)
     client = Client(server.address)
     assert client.call(WAIT_S).ok
     server.refuses = True
-    got = client.call(PAUSE_S * 3, resend_after_s=PAUSE_S)
-    assert got.failed is not None
-    assert got.sent
+    result = client.call(PAUSE_S * 3, resend_after_s=PAUSE_S)
+    assert result.failed is not None
+    assert result.sent
     client.close()
     server.close()
 
 
 @pytest.mark.parametrize("address", ["255.255.255.255:9", "127.0.0.1:x", "127.0.0.1:65536"])
 @pytest.mark.parametrize("resend_after_s", [None, PAUSE_S])
-def test_a_call_that_cannot_even_begin_to_connect_is_told_as_not_sent(
+def test_a_call_that_cannot_even_begin_to_connect_is_reported_as_not_sent(
     address: str, resend_after_s: float | None
 ) -> None:
     """A connect that fails at once must be reported, or the caller waits forever.
@@ -214,7 +214,7 @@
     and an exception of the connect escaped from `send`.
     """
     client = Client(Address(address))
-    got = client.call(PAUSE_S, resend_after_s)
-    assert got.failed is CallFailure.NOT_SENT
-    assert not got.sent
+    result = client.call(PAUSE_S, resend_after_s)
+    assert result.failed is CallFailure.NOT_SENT
+    assert not result.sent
     client.close()
--- a/tests/test_late_ends.py
+++ b/tests/test_late_ends.py
@@ -172,8 +172,8 @@
         runner.millicores = 2000
         world.store.entries.put(runner.id, b"ready")
     _submit_jobs(world, range(30), 0.1)
-    away = [other for other in world.runners.values() if world.random.random() < 0.6]
-    _partition(world, away)
+    partitioned = [other for other in world.runners.values() if world.random.random() < 0.6]
+    _partition(world, partitioned)
     leader = world.leader()
     if leader is not None and seed % 2 and leader.name != ENTRY:
         leader.kill()
--- a/tests/test_lead_again.py
+++ b/tests/test_lead_again.py
@@ -8,34 +8,34 @@
 
 TASKS = Step(count=8, millicores=1000, memory_mb=100)
 WORK_S = 4.0
-LED_S = 10.0
-BUSY_S = 1.0
-CUT_S = 3.0
+TERM_BEFORE_S = 10.0
+FREEZE_S = 1.0
+PARTITION_S = 3.0
 SEEDS = 12
 
 
 def _leads_again(seed: int) -> tuple[World, Instance]:
     """Delay the only instance as the store accepts its write, with one runner partitioned."""
     world = small_world(instances=1, seed=seed)
-    for one in world.runners.values():
-        one.work_s = WORK_S
+    for candidate in world.runners.values():
+        candidate.work_s = WORK_S
     leader = world.instances["entry-0"]
-    world.run(LED_S)
+    world.run(TERM_BEFORE_S)
     leader.submit("a1", TASKS)
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     world.unreachable.add((leader.name, runner.name))
     leader.submit("a2", TASKS)
-    while not any(one.key == progress_key(JobId("a2")) for one in world.store.jobs.records):
+    while not any(record.key == progress_key(JobId("a2")) for record in world.store.jobs.records):
         world.run(0.0005)
-    leader.freeze(BUSY_S)
-    world.run(CUT_S)
+    leader.freeze(FREEZE_S)
+    world.run(PARTITION_S)
     world.unreachable.clear()
     world.run(WORK_S)
     return world, leader
 
 
-def test_runs_of_its_own_earlier_term_count_as_at_work_until_their_leases_passed() -> None:
+def test_runs_of_its_own_earlier_term_count_as_running_until_their_leases_expire() -> None:
     """A leader that led again restarted the runs on runners that it had not polled yet.
 
     Many completed and recorded tasks of a job were started again a second later, 10 s after the
@@ -56,7 +56,7 @@
     assert gave_up > 0
 
 
-def test_leases_are_extended_only_by_writes_that_others_hear_no_earlier() -> None:
+def test_leases_are_extended_only_by_writes_that_others_read_no_earlier() -> None:
     """A successor restarted runs whose leases a leader extended after a late answer to a write.
 
     A task done under one leader was started again 14 s later under another, with the store
@@ -69,13 +69,13 @@
     Without the fix this test starts tasks a second time while they run.
     """
     world = small_world()
-    for one in world.runners.values():
-        one.work_s = 60.0
+    for candidate in world.runners.values():
+        candidate.work_s = 60.0
     first = world.leader()
     assert first is not None
     first.submit("a1", TASKS)
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     others = {name for name in world.instances if name != first.name}
     world.unreachable.update((name, runner.name) for name in others)
     world.store.unanswered_instances.add(first.name)
@@ -92,7 +92,7 @@
     assert world.violations == []
 
 
-def test_what_a_leader_learns_counts_among_its_signs_of_life() -> None:
+def test_stored_learned_state_counts_as_a_leader_heartbeat() -> None:
     """A successor that reads at once could treat leases as expired up to 0.4 s too early.
 
     A write of learned state confirms the leader, which extends leases from then and defers its
@@ -107,12 +107,12 @@
     world.run(2.0)
     records = world.store.jobs.records
     known = len(records)
-    world.run_until(lambda: any(one.key == LEARNED_KEY for one in records[known:]))
+    world.run_until(lambda: any(record.key == LEARNED_KEY for record in records[known:]))
     confirmed_at = first.leadership.confirmed_at
     assert records[-1].key == LEARNED_KEY
     world.run(0.3)
-    others = [one for one in world.instances.values() if one is not first]
-    assert all(one.leadership.leader_wrote_at >= confirmed_at for one in others)
+    others = [instance for instance in world.instances.values() if instance is not first]
+    assert all(instance.leadership.leader_wrote_at >= confirmed_at for instance in others)
 
 
 def test_an_instance_counts_its_own_writes_among_those_of_earlier_leaders() -> None:
--- a/tests/test_leader_writer.py
+++ b/tests/test_leader_writer.py
@@ -37,15 +37,15 @@
         ([AppendOutcome.UNKNOWN, AppendOutcome.NOT_STORED], True),
     ],
 )
-def test_a_write_counts_as_repeated_only_after_a_sending_that_may_have_been_taken(
+def test_a_write_counts_as_repeated_only_after_an_attempt_that_may_have_been_stored(
     outcomes: list[AppendOutcome], repeated: bool
 ) -> None:
     """The clock advances between any two lines; a first attempt must not look repeated."""
     ticks = count(100)
     store: Any = _Store(*outcomes, AppendOutcome.STORED)
     timers: Any = _Timers()
-    told: list[AppendTiming] = []
+    timings: list[AppendTiming] = []
     writer = LeaderWriter(store, timers, lambda: float(next(ticks)), 1, lambda why: None)
-    writer.write(PendingAppend(Append([]), told.append))
-    assert [kept.repeated for kept in told] == [repeated]
-    assert told[0].first_at <= told[0].sent_at
+    writer.write(PendingAppend(Append([]), timings.append))
+    assert [timing.repeated for timing in timings] == [repeated]
+    assert timings[0].first_at <= timings[0].sent_at
--- a/tests/test_note_lines.py
+++ b/tests/test_note_lines.py
@@ -18,10 +18,10 @@
 
 NOW = 80.0
 STARTS_PER_S = 600
-WIDTH = 24
+MEAN_STEP_WIDTH = 24
 """Mean width of a step at that deployment: 39 for settlement steps, nine for receipt steps."""
 
-SECONDS = 5.0
+DURATION_S = 5.0
 
 
 def _bound(task: TaskKey, run: int = 1) -> LogEvent:
@@ -49,11 +49,11 @@
 
     A step is bound within one interval; its ends are spread over six.
     """
-    periods: list[list[LogEvent]] = [[] for _ in range(int(SECONDS / LOG_GROUP_INTERVAL_S) + 8)]
-    steps = int(STARTS_PER_S * SECONDS / WIDTH)
+    periods: list[list[LogEvent]] = [[] for _ in range(int(DURATION_S / LOG_GROUP_INTERVAL_S) + 8)]
+    steps = int(STARTS_PER_S * DURATION_S / MEAN_STEP_WIDTH)
     for step in range(steps):
-        at = int(step / steps * SECONDS / LOG_GROUP_INTERVAL_S)
-        for number in range(WIDTH):
+        at = int(step / steps * DURATION_S / LOG_GROUP_INTERVAL_S)
+        for number in range(MEAN_STEP_WIDTH):
             task = TaskKey(JobId(f"{step:016x}"), 0, 0, number)
             periods[at].append(_bound(task))
             periods[at + 2 + number % 6].append(_ended(task))
@@ -63,20 +63,20 @@
 def test_a_peak_of_starts_and_ends_stays_within_the_bound_on_lines() -> None:
     lines = LogEventGroups()
     written = 0
-    told: list[dict[str, Any]] = []
+    logged: list[dict[str, Any]] = []
     periods = _decisions()
-    for notes in periods:
-        for note in notes:
-            lines.add(note, NOW)
+    for log_events in periods:
+        for log_event in log_events:
+            lines.add(log_event, NOW)
         for line in lines.pop_lines(NOW):
             written += 1
-            told += split_by_task(line.fields)
+            logged += split_by_task(line.fields)
     allowed = BURST_LINES + LINES_PER_S * len(periods) * LOG_GROUP_INTERVAL_S
     assert written <= allowed
-    assert len(told) == sum(map(len, periods)), "each decision is told once"
+    assert len(logged) == sum(map(len, periods)), "each decision is logged once"
 
 
-def test_a_line_of_many_tasks_goes_into_a_pipe_whole() -> None:
+def test_a_line_of_many_tasks_is_written_to_a_pipe_whole() -> None:
     lines = LogEventGroups()
     for number in range(160):
         lines.add(_bound(TaskKey(JobId("f" * 16), 0, 1, number)), NOW)
@@ -84,28 +84,31 @@
         assert len(json.dumps(line.fields)) < ATOMIC_BYTES - 300
 
 
-def test_a_line_says_of_each_task_what_a_line_of_its_own_would() -> None:
+def test_a_grouped_line_has_the_fields_of_each_tasks_own_line() -> None:
     lines = LogEventGroups()
-    notes = [_bound(TaskKey(JobId("a" * 16), 0, 0, number)) for number in range(5)]
-    for note in notes:
-        lines.add(note, NOW)
+    log_events = [_bound(TaskKey(JobId("a" * 16), 0, 0, number)) for number in range(5)]
+    for log_event in log_events:
+        lines.add(log_event, NOW)
     (line,) = lines.pop_lines(NOW)
-    alone = [{**note.fields, "task": list(note.fields["task"]), "ago_ms": 0} for note in notes]
+    alone = [
+        {**log_event.fields, "task": list(log_event.fields["task"]), "ago_ms": 0}
+        for log_event in log_events
+    ]
     assert split_by_task(line.fields) == alone
 
 
-def test_what_is_told_of_one_task_keeps_its_order() -> None:
+def test_events_of_one_task_keep_their_order() -> None:
     lines = LogEventGroups()
     first, second = (TaskKey(JobId("a" * 16), 0, 0, number) for number in range(2))
-    notes = [_bound(first), _ended(first), _bound(second), _bound(first, run=2)]
-    for note in notes:
-        lines.add(note, NOW)
-    told = [
-        (one.name, *single["task"], single["run"])
-        for one in lines.pop_lines(NOW)
-        for single in split_by_task(one.fields)
+    log_events = [_bound(first), _ended(first), _bound(second), _bound(first, run=2)]
+    for log_event in log_events:
+        lines.add(log_event, NOW)
+    logged = [
+        (line.name, *single["task"], single["run"])
+        for line in lines.pop_lines(NOW)
+        for single in split_by_task(line.fields)
     ]
-    of_first = [(name, run) for name, *task, run in told if task[-1] == 0]
+    of_first = [(name, run) for name, *task, run in logged if task[-1] == 0]
     assert of_first == [("task-bound", 1), ("run-ended", 1), ("task-bound", 2)]
 
 
@@ -113,7 +116,7 @@
     job = "a" * 16
     tasks = [TaskKey(JobId(job), 0, 0, number) for number in range(3)]
     lines = LogEventGroups()
-    told = [
+    log_lines = [
         Line(0.0, "e", "job-accepted", {"job": job}),
         Line(
             0.1,
@@ -129,16 +132,16 @@
             },
         ),
     ]
-    for at, notes in ((0.2, map(_bound, tasks)), (1.2, map(_ended, tasks))):
-        for note in notes:
-            lines.add(note, NOW)
+    for at, log_events in ((0.2, map(_bound, tasks)), (1.2, map(_ended, tasks))):
+        for log_event in log_events:
+            lines.add(log_event, NOW)
         for line in lines.pop_lines(NOW + 0.3):
             fields = json.loads(json.dumps(line.fields))
-            told.append(Line(at + 0.3, "e", line.name, fields))
-    told.append(Line(1.2, "e", "job-ended", {"job": job, "phase": "completed"}))
-    (found,) = job_times(told)
-    assert round(found.duration_s, 2) == 1.2
-    assert {cause.value: round(s, 2) for cause, s in found.seconds.items() if s > 0.001} == {
+            log_lines.append(Line(at + 0.3, "e", line.name, fields))
+    log_lines.append(Line(1.2, "e", "job-ended", {"job": job, "phase": "completed"}))
+    (times,) = job_times(log_lines)
+    assert round(times.duration_s, 2) == 1.2
+    assert {cause.value: round(s, 2) for cause, s in times.seconds.items() if s > 0.001} == {
         "until a leader read it": 0.1,
         "waiting for a place": 0.1,
         "between its record and its start": 0.25,
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -140,7 +140,7 @@
     assert 5 <= world.asked[OTHER] - before <= 20
 
 
-def test_an_entry_of_a_service_that_no_queue_names_is_not_asked_until_one_does() -> None:
+def test_an_entry_of_a_service_that_no_queue_names_is_not_polled_until_one_does() -> None:
     world = with_routes(small_world())
     world.store.entries.put(OTHER, entry(service="unheard"))
     world.run(3.0)
@@ -164,7 +164,7 @@
     assert leader is not None
     leader.dispatcher.set_routes({ROUTE: RoutePolicy("unheard", 0, 3)})  # type: ignore[arg-type]
     world.run(3.0)
-    assert sum(len(one.tasks) for one in world.runners.values()) == LONG.count
+    assert sum(len(runner.tasks) for runner in world.runners.values()) == LONG.count
     assert all(len(starts) == 1 for starts in world.starts.values())
 
 
@@ -173,24 +173,24 @@
     hang(world)
     world.instances["entry-0"].submit("a1", LONG)
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     world.store.entries.put(OTHER, entry(address=runner.name))
     world.run(1.0)
     world.store.entries.put(runner.id, b"")
     world.run(5.0)
     assert world.violations == []
-    assert sum(len(one.tasks) for one in world.runners.values()) == LONG.count
+    assert sum(len(candidate.tasks) for candidate in world.runners.values()) == LONG.count
     assert all(len(starts) == 1 for starts in world.starts.values())
 
 
 def test_an_entry_without_an_address_frees_no_run_of_an_earlier_leader() -> None:
-    """The address of an earlier leader's run is unknown if its runner is not listed."""
+    """A leader does not know the address of an inherited run whose runner is not listed."""
     world = small_world(instances=1)
     hang(world)
     world.instances["entry-0"].submit("a1", LONG)
     world.run(1.0)
     world.instances["entry-0"].kill()
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     world.store.entries.put(runner.id, b"")
     world.store.entries.put(OTHER, entry(address=""))
     world.add_instance("entry-9")
@@ -205,7 +205,7 @@
     hang(world)
     world.instances["entry-0"].submit("a1", LONG)
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     moved = list(runner.tasks)
     runner.crash()
     world.run(0.5)
@@ -229,7 +229,9 @@
     world.lasting_jobs = {"b1"}
     world.instances["entry-0"].submit("b1", LASTING, LASTING, LASTING)
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.name == "10.0.0.0:80")
+    runner = next(
+        candidate for candidate in world.runners.values() if candidate.name == "10.0.0.0:80"
+    )
     assert runner.tasks
     world.store.entries.put(runner.id, value)
     world.run(1.5)
@@ -244,11 +246,11 @@
     world.lasting_jobs = {"b1"}
     world.instances["entry-0"].submit("b1", LASTING, LASTING, LASTING)
     world.run(1.0)
-    runner = next(one for one in world.runners.values() if one.tasks)
+    runner = next(candidate for candidate in world.runners.values() if candidate.tasks)
     world.store.entries.put(runner.id, b"{")
     world.run(6.0)
     assert not runner.tasks
-    assert sum(len(one.tasks) for one in world.runners.values()) == 3 * LASTING.count
+    assert sum(len(candidate.tasks) for candidate in world.runners.values()) == 3 * LASTING.count
     assert world.violations == []
 
 
@@ -375,23 +377,23 @@
     part: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = small_world()
-    violations = world.instances["entry-0"]
-    violations.logged.expected = True
+    failing = world.instances["entry-0"]
+    failing.logged.expected = True
 
     def fail_once(*args: Any) -> None:
         monkeypatch.undo()
         raise ZeroDivisionError
 
     owner, name = (
-        (violations.index, "take") if part == "index" else (violations.dispatcher, "on_news")
+        (failing.index, "apply_record") if part == "index" else (failing.dispatcher, "on_news")
     )
     monkeypatch.setattr(owner, name, fail_once)
     world.instances["entry-1"].submit("a1", QUICK)
     world.run(1.0)
     world.instances["entry-1"].submit("a2", QUICK)
     settle(world, "a2")
-    assert violations.index.phase(JobId("a2")) is not None
-    assert [name for name, _ in violations.logged.lines].count("internal-error") == 1
+    assert failing.index.phase(JobId("a2")) is not None
+    assert [name for name, _ in failing.logged.lines].count("internal-error") == 1
 
 
 @pytest.mark.parametrize(
@@ -499,16 +501,16 @@
     "raw", [b"\x02\xff\xfevalue", b"", b"\x09ab", b"\x00value"], ids=["no text", "", "cut", "none"]
 )
 def test_a_record_under_a_key_that_is_no_text_keeps_its_offset(raw: bytes) -> None:
-    got = _read(frame(b"\x01aone") + frame(raw) + frame(b"\x01btwo"))
-    assert [record.offset for record in got.records] == [10, 11, 12]
-    assert got.records[0] == KeyedRecord("a", b"one", 10)
-    assert got.records[2] == KeyedRecord("b", b"two", 12)
-    assert got.records[1].key not in ("a", "b", "ab")
+    read_result = _read(frame(b"\x01aone") + frame(raw) + frame(b"\x01btwo"))
+    assert [record.offset for record in read_result.records] == [10, 11, 12]
+    assert read_result.records[0] == KeyedRecord("a", b"one", 10)
+    assert read_result.records[2] == KeyedRecord("b", b"two", 12)
+    assert read_result.records[1].key not in ("a", "b", "ab")
 
 
 def test_a_truncated_record_is_ignored() -> None:
-    got = _read(frame(b"\x01aone") + frame(b"\x01btwo")[:-1])
-    assert got.records == (KeyedRecord("a", b"one", 10),)
+    read_result = _read(frame(b"\x01aone") + frame(b"\x01btwo")[:-1])
+    assert read_result.records == (KeyedRecord("a", b"one", 10),)
 
 
 # Answers of runners
@@ -541,9 +543,9 @@
     ids=str,
 )
 def test_a_runner_whose_report_cannot_be_read_counts_as_silent(body: Any) -> None:
-    got = _poll(body)
-    assert got.result is OrderResult.UNKNOWN
-    assert got.report is None
+    poll_result = _poll(body)
+    assert poll_result.result is OrderResult.UNKNOWN
+    assert poll_result.report is None
 
 
 @pytest.mark.parametrize(
@@ -559,9 +561,9 @@
 )
 def test_a_running_row_that_cannot_be_read_does_not_lose_the_others(row: Any) -> None:
     rows = [["ab.0.1.16", 2, "", 41], row, ["ab.0.1.17", 2, "00bb", 41, 12.5]]
-    got = _poll({"clockMs": 5, "running": rows})
-    assert got.report is not None
-    assert [run.task.number for run in got.report.running] == [16, 17]
+    poll_result = _poll({"clockMs": 5, "running": rows})
+    assert poll_result.report is not None
+    assert [run.task.number for run in poll_result.report.running] == [16, 17]
 
 
 @pytest.mark.parametrize(
@@ -578,9 +580,9 @@
 )
 def test_an_ended_row_that_cannot_be_read_does_not_lose_the_others(row: Any) -> None:
     rows = [[58, "ab.0.1.8", 1, "done", ""], row, [60, "ab.0.1.10", 1, "failed", ""]]
-    got = _poll({"clockMs": 5, "ended": rows})
-    assert got.report is not None
-    assert [(end.number, end.how) for end in got.report.ended] == [
+    poll_result = _poll({"clockMs": 5, "ended": rows})
+    assert poll_result.report is not None
+    assert [(end.number, end.how) for end in poll_result.report.ended] == [
         (58, EndKind.DONE),
         (60, EndKind.FAILED),
     ]
@@ -598,10 +600,10 @@
 
     def with_unreadable_end(order: Poll) -> PollResult:
         asked.append(order.seen)
-        got = poll(order)
-        if order.seen >= 40 or got.report is None:
-            return got
-        return PollResult(OrderResult.DONE, got.report._replace(unreadable_ends=(40,)))
+        poll_result = poll(order)
+        if order.seen >= 40 or poll_result.report is None:
+            return poll_result
+        return PollResult(OrderResult.DONE, poll_result.report._replace(unreadable_ends=(40,)))
 
     runner.poll = with_unreadable_end  # type: ignore[method-assign]
     world.run(4.0)
@@ -625,7 +627,7 @@
         Start(TARGET, TASK, 3, "text", "", 900), results.append
     )
     PlatformRunners(RecordingHttp(result)).stop(Stop(TARGET, TASK, 3), results.append)
-    assert [result.result for result in results] == [expected, expected]
+    assert [order_result.result for order_result in results] == [expected, expected]
 
 
 def test_a_runners_entry_as_it_is_written_is_read() -> None:
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -101,10 +101,10 @@
 
 
 def place(step: Step, runners: list[RunnerState], contention: ContentionModel | None = None) -> str:
-    found = choose(
+    chosen = choose(
         PlacementRequest(step, {}, NO_RUNNER), runners, contention or ContentionModel(), NOW
     )
-    return found.id if found is not None else ""
+    return chosen.id if chosen is not None else ""
 
 
 def test_weights_of_noisy_and_quiet_pairs_are_distinguished() -> None:
@@ -115,8 +115,8 @@
     assert contention.harmless("s", "quiet") > 0.95
 
 
-def test_a_slow_tail_beside_two_fillers_leaves_open_which_it_was() -> None:
-    """Blame for a tail used to stay split evenly between two fillers.
+def test_a_slow_tail_beside_two_fillers_does_not_show_which_caused_it() -> None:
+    """The blame for a high tail latency stayed split evenly between two fillers.
 
     Runners that tolerate one of them then stayed empty.
     """
@@ -147,15 +147,15 @@
 
 
 def test_reports_of_the_same_half_second_are_learned_once() -> None:
-    one = runner("i-1")
-    put(one, SERVING, tail_ms=95.0)
-    put(one, NOISY, job="cd")
-    state = leader(one, contention=ContentionModel())
-    learn(state, one, NOISY_USE, NOW)
+    runner_state = runner("i-1")
+    put(runner_state, SERVING, tail_ms=95.0)
+    put(runner_state, NOISY, job="cd")
+    state = leader(runner_state, contention=ContentionModel())
+    learn(state, runner_state, NOISY_USE, NOW)
     once = state.contention.weight("s", "noisy")
-    learn(state, one, NOISY_USE, NOW + 0.1)
+    learn(state, runner_state, NOISY_USE, NOW + 0.1)
     assert state.contention.weight("s", "noisy") == once
-    learn(state, one, NOISY_USE, NOW + 0.6)
+    learn(state, runner_state, NOISY_USE, NOW + 0.6)
     assert state.contention.weight("s", "noisy") > once
 
 
@@ -164,30 +164,30 @@
 
     Tail latencies then rose to 14 times their targets.
     """
-    one = runner("i-1")
-    noisy = [put(one, NOISY, job=f"c{number}") for number in range(5)]
-    quiet = put(one, QUIET, job="ef")
-    state = leader(one)
-    slow_fillers_for(state, one, "s", NOW)
-    assert all(one.runs[key].pace < 50 for key in noisy)
-    assert one.runs[quiet].pace == 100
-
-
-def test_fillers_get_no_faster_than_what_is_learnt_allows() -> None:
-    """A task that has just begun to serve reports a low tail whatever runs beside it."""
-    one = runner("i-1")
-    put(one, SERVING, tail_ms=5.0)
+    runner_state = runner("i-1")
+    noisy = [put(runner_state, NOISY, job=f"c{number}") for number in range(5)]
+    quiet = put(runner_state, QUIET, job="ef")
+    state = leader(runner_state)
+    slow_fillers_for(state, runner_state, "s", NOW)
+    assert all(runner_state.runs[key].pace < 50 for key in noisy)
+    assert runner_state.runs[quiet].pace == 100
+
+
+def test_fillers_get_no_faster_than_the_learned_weights_allow() -> None:
+    """A task that has just begun to serve reports a low tail latency whatever runs beside it."""
+    runner_state = runner("i-1")
+    put(runner_state, SERVING, tail_ms=5.0)
     bound = msgspec.structs.replace(NOISY, checkpoints=False)
-    noisy = [put(one, bound, job=f"c{number}") for number in range(6)]
-    state = leader(one)
+    noisy = [put(runner_state, bound, job=f"c{number}") for number in range(6)]
+    state = leader(runner_state)
     for key in noisy:
-        one.set_pace(one.runs[key], 10, NOW - 1)
-        one.runs[key].used_millicores = 400.0
+        runner_state.set_pace(runner_state.runs[key], 10, NOW - 1)
+        runner_state.runs[key].used_millicores = 400.0
     for round_number in range(4):
-        set_paces(state, one, NOW + round_number)
+        set_paces(state, runner_state, NOW + round_number)
         for key in noisy:
-            one.runs[key].used_millicores = 40.0 * one.runs[key].pace
-    assert sum(one.runs[key].pace for key in noisy) < 200
+            runner_state.runs[key].used_millicores = 40.0 * runner_state.runs[key].pace
+    assert sum(runner_state.runs[key].pace for key in noisy) < 200
 
 
 def test_a_noisy_filler_goes_where_nothing_serves_and_a_quiet_one_beside_it() -> None:
@@ -223,75 +223,77 @@
 
 
 def test_a_lasting_task_leaves_the_reserve_but_never_room_for_two() -> None:
-    one = runner("i-1", 8000)
+    first = runner("i-1", 8000)
     request = PlacementRequest(SERVING, {}, NO_RUNNER, reserve=3000)
-    assert choose(request, [one], ContentionModel(), NOW) is None
-    two = runner("i-2", 12_000)
-    assert choose(request._replace(reserve=9000), [two], ContentionModel(), NOW) is two
+    assert choose(request, [first], ContentionModel(), NOW) is None
+    second = runner("i-2", 12_000)
+    assert choose(request._replace(reserve=9000), [second], ContentionModel(), NOW) is second
 
 
 def test_a_task_that_failed_somewhere_prefers_another_runner() -> None:
-    one, two = runner("i-1", 40_000), runner("i-2")
-    found = choose(PlacementRequest(SHORT, {}, RunnerId("i-1")), [one, two], ContentionModel(), NOW)
-    assert found is two
+    first, second = runner("i-1", 40_000), runner("i-2")
+    chosen = choose(
+        PlacementRequest(SHORT, {}, RunnerId("i-1")), [first, second], ContentionModel(), NOW
+    )
+    assert chosen is second
 
 
 def leader(*runners: RunnerState, contention: ContentionModel | None = None) -> Scheduler:
     state = Scheduler(3, NOW - 20, NOW - 20)
-    state.runners = {one.id: one for one in runners}
+    state.runners = {runner_state.id: runner_state for runner_state in runners}
     state.contention = contention or trained_model()
     return state
 
 
 def paces(state: Scheduler) -> list[int]:
-    found = [order.percent for order in state.orders if isinstance(order, Pace)]
+    percents = [order.percent for order in state.orders if isinstance(order, Pace)]
     state.orders = []
-    return found
+    return percents
 
 
 def test_the_filler_that_raises_a_tail_is_slowed_and_restored() -> None:
-    one = runner("i-1")
-    serving = put(one, SERVING, tail_ms=95.0)
-    noisy = put(one, NOISY, job="cd")
-    put(one, QUIET, job="ef")
-    state = leader(one)
-    set_paces(state, one, NOW)
+    runner_state = runner("i-1")
+    serving = put(runner_state, SERVING, tail_ms=95.0)
+    noisy = put(runner_state, NOISY, job="cd")
+    put(runner_state, QUIET, job="ef")
+    state = leader(runner_state)
+    set_paces(state, runner_state, NOW)
     assert len(paces(state)) == 1
-    assert one.runs[noisy].pace < 100
-    one.runs[serving].tail_ms = 35.0
-    one.runs[noisy].used_millicores = 40.0 * one.runs[noisy].pace
-    learn(state, one, {"noisy": 0.02}, NOW + 2)
-    set_paces(state, one, NOW + 2)
-    assert paces(state) and one.runs[noisy].pace > 10
+    assert runner_state.runs[noisy].pace < 100
+    runner_state.runs[serving].tail_ms = 35.0
+    runner_state.runs[noisy].used_millicores = 40.0 * runner_state.runs[noisy].pace
+    learn(state, runner_state, {"noisy": 0.02}, NOW + 2)
+    set_paces(state, runner_state, NOW + 2)
+    assert paces(state) and runner_state.runs[noisy].pace > 10
 
 
 def loaded(now: float) -> StepLoad:
-    """Return the load of a serving task whose tail alone is near its target."""
+    """Return the load of a serving task whose tail latency is near its target without fillers."""
     return StepLoad(math.log(0.8), 0.01, now)
 
 
-def test_a_filler_that_surely_does_no_harm_works_beside_any_load() -> None:
+def test_a_harmless_filler_runs_beside_any_load() -> None:
     """A third of the processors for harmless fillers stood idle beside serving tasks under load."""
-    one = runner("i-1")
-    serving = put(one, SERVING, tail_ms=80.0)
-    one.runs[serving].load = loaded(NOW)
-    assert place(QUIET, [one], trained_model()) == "i-1"
-    assert place(NOISY, [one], trained_model()) == ""
-    quiet = put(one, QUIET, job="cd")
-    one.set_pace(one.runs[quiet], 10, NOW - 1)
-    state = leader(one)
-    set_paces(state, one, NOW)
+    runner_state = runner("i-1")
+    serving = put(runner_state, SERVING, tail_ms=80.0)
+    runner_state.runs[serving].load = loaded(NOW)
+    assert place(QUIET, [runner_state], trained_model()) == "i-1"
+    assert place(NOISY, [runner_state], trained_model()) == ""
+    quiet = put(runner_state, QUIET, job="cd")
+    runner_state.set_pace(runner_state.runs[quiet], 10, NOW - 1)
+    state = leader(runner_state)
+    set_paces(state, runner_state, NOW)
     assert paces(state) == [100]
 
 
 def test_no_filler_gets_faster_while_a_tail_is_over_its_target() -> None:
-    one = runner("i-1")
-    serving = put(one, SERVING, tail_ms=120.0)
-    one.runs[serving].over_target_since = NOW - 0.5
-    quiet = put(one, QUIET, job="cd")
-    one.set_pace(one.runs[quiet], 40, NOW - 1)
-    state = leader(one)
-    set_paces(state, one, NOW)
+    runner_state = runner("i-1")
+    serving = put(runner_state, SERVING, tail_ms=120.0)
+    runner_state.runs[serving].over_target_since = NOW - 0.5
+    quiet = put(runner_state, QUIET, job="cd")
+    runner_state.set_pace(runner_state.runs[quiet], 40, NOW - 1)
+    state = leader(runner_state)
+    set_paces(state, runner_state, NOW)
     assert all(pace <= 40 for pace in paces(state))
 
 
@@ -314,34 +316,34 @@
     state = leader(runner("i-1"))
     state.add_job(JobId("ee"), record, 1, None, False, NOW, 0.0)
     job = state.jobs[JobId("ee")]
-    one, other = (
+    first, other = (
         state.new_run(job, TaskKey(job.id, 0, 0, number), 1, RunStage.RUNNING, NOW)
         for number in (0, 1)
     )
-    assert one.load is other.load
+    assert first.load is other.load
 
 
 def test_fillers_are_blamed_by_what_they_used_in_the_time_of_the_report() -> None:
     """A filler that just began has used nothing yet; one that ended during the report has."""
-    one = runner("i-1")
-    put(one, SERVING)
-    young = put(one, NOISY, job="cd")
-    ended = put(one, QUIET, job="ef")
+    runner_state = runner("i-1")
+    put(runner_state, SERVING)
+    young = put(runner_state, NOISY, job="cd")
+    ended = put(runner_state, QUIET, job="ef")
     running = RunningRow(young, 1, "", 0, 0.0)
-    report = Report(one.id, 0.0, (running,), (EndedRow(1, ended, 1, EndKind.DONE, ""),))
-    assert filler_use(one, report, NOW) == {
+    report = Report(runner_state.id, 0.0, (running,), (EndedRow(1, ended, 1, EndKind.DONE, ""),))
+    assert filler_use(runner_state, report, NOW) == {
         "noisy": 0.0,
-        "quiet": one.share(QUIET.millicores),
+        "quiet": runner_state.share(QUIET.millicores),
     }
 
 
-def test_every_filler_stands_still_before_a_tail_counts_as_harmed() -> None:
-    one = runner("i-1")
-    serving = put(one, SERVING, tail_ms=140.0)
-    put(one, QUIET, job="cd")
-    one.runs[serving].over_target_since = NOW - 1.4
-    state = leader(one)
-    set_paces(state, one, NOW)
+def test_every_filler_is_halted_before_a_tail_counts_as_harmed() -> None:
+    runner_state = runner("i-1")
+    serving = put(runner_state, SERVING, tail_ms=140.0)
+    put(runner_state, QUIET, job="cd")
+    runner_state.runs[serving].over_target_since = NOW - 1.4
+    state = leader(runner_state)
+    set_paces(state, runner_state, NOW)
     assert paces(state) == [0]
 
 
@@ -375,48 +377,48 @@
 
 def test_no_filler_comes_to_a_runner_whose_tail_is_over_its_target() -> None:
     """The tail counted as harmed although all fillers on the runner were halted."""
-    one = runner("i-1")
-    serving = put(one, SERVING, tail_ms=140.0)
-    one.runs[serving].over_target_since = NOW - 0.1
-    assert place(QUIET, [one], trained_model()) == ""
+    runner_state = runner("i-1")
+    serving = put(runner_state, SERVING, tail_ms=140.0)
+    runner_state.runs[serving].over_target_since = NOW - 0.1
+    assert place(QUIET, [runner_state], trained_model()) == ""
 
 
 SOME = msgspec.structs.replace(NOISY, millicores=1200)
 
 
-def test_what_a_runner_leaves_to_fillers_follows_what_comes_and_goes() -> None:
-    one = runner("i-1")
+def test_filler_headroom_follows_the_tasks_of_a_runner() -> None:
+    runner_state = runner("i-1")
     contention = trained_model()
-    put(one, SERVING)
-    assert place(SOME, [one], contention) == "i-1"
-    noisy = put(one, SOME, job="cd")
-    assert place(SOME, [one], contention) == ""
-    one.remove(noisy)
-    assert place(SOME, [one], contention) == "i-1"
+    put(runner_state, SERVING)
+    assert place(SOME, [runner_state], contention) == "i-1"
+    noisy = put(runner_state, SOME, job="cd")
+    assert place(SOME, [runner_state], contention) == ""
+    runner_state.remove(noisy)
+    assert place(SOME, [runner_state], contention) == "i-1"
 
 
 def test_fillers_that_found_no_place_are_tried_again_a_moment_later() -> None:
     """A pass over 200 waiting jobs and 176 runners took 160 ms and ran up to 100 times a second."""
-    one = runner("i-1")
-    put(one, SERVING)
-    there = put(one, SOME, job="cd")
-    state = leader(one)
+    runner_state = runner("i-1")
+    put(runner_state, SERVING)
+    there = put(runner_state, SOME, job="cd")
+    state = leader(runner_state)
     state.routes = {RouteName("q"): RoutePolicy(SERVICE, 2, 3)}
     record = JobRecord(RouteName("q"), SERVICE, 2, 3, 100, 2.0, Workflow("", (SOME,)))
     state.add_job(JobId("ee"), record, 1, None, False, NOW, 0.0)
     place_waiting(state, NOW, 0.0)
-    one.remove(there)
+    runner_state.remove(there)
     place_waiting(state, NOW + FILLER_RETRY_S / 2, 0.0)
-    assert TaskKey(JobId("ee"), 0, 0, 0) not in one.runs
+    assert TaskKey(JobId("ee"), 0, 0, 0) not in runner_state.runs
     place_waiting(state, NOW + FILLER_RETRY_S, 0.0)
-    assert TaskKey(JobId("ee"), 0, 0, 0) in one.runs
+    assert TaskKey(JobId("ee"), 0, 0, 0) in runner_state.runs
 
 
 def test_no_fresh_job_takes_the_place_that_a_begun_one_of_its_image_waits_for() -> None:
     """Two thirds of the late jobs had begun at once, then lost every place to newer jobs."""
-    one = runner("i-1", 8000)
-    put(one, QUIET, job="cd")
-    state = leader(one, contention=trained_model())
+    runner_state = runner("i-1", 8000)
+    put(runner_state, QUIET, job="cd")
+    state = leader(runner_state, contention=trained_model())
     state.routes = {RouteName("q"): RoutePolicy(SERVICE, 2, 3)}
     wide = msgspec.structs.replace(QUIET, millicores=6000, estimate_ms=1000)
     small = msgspec.structs.replace(QUIET, millicores=2000, estimate_ms=1000)
@@ -425,60 +427,60 @@
         state.add_job(JobId(name), record, 1, None, False, NOW, 0.0)
         state.jobs[JobId(name)].begun = ran
     place_waiting(state, NOW, 0.0)
-    assert TaskKey(JobId("ff"), 0, 0, 0) not in one.runs
+    assert TaskKey(JobId("ff"), 0, 0, 0) not in runner_state.runs
     state.jobs[JobId("ee")].phase = JobPhase.CANCELLED
     state.ready.pop(JobId("ee"))
     place_waiting(state, NOW + FILLER_RETRY_S, 0.0)
-    assert TaskKey(JobId("ff"), 0, 0, 0) in one.runs
+    assert TaskKey(JobId("ff"), 0, 0, 0) in runner_state.runs
 
 
 def test_a_task_paced_down_or_saving_teaches_its_whole_time() -> None:
     """Only short tasks were learned: long ones save their progress and were slowed."""
-    one = runner("i-1")
-    state = leader(one)
+    runner_state = runner("i-1")
+    state = leader(runner_state)
     record = JobRecord(RouteName("q"), SERVICE, 2, 3, 9000, 2.0, Workflow("", (NOISY,)))
     state.add_job(JobId("ee"), record, 1, None, False, NOW, 0.0)
     job, key = state.jobs[JobId("ee")], TaskKey(JobId("ee"), 0, 0, 0)
-    bind(state, job, key, 1, one, NOW)
-    run = one.runs[key]
+    bind(state, job, key, 1, runner_state, NOW)
+    run = runner_state.runs[key]
     run.stage, run.since = RunStage.RUNNING, NOW
     job.task(key).saved = "0123"
-    one.set_pace(run, 50, NOW + 1.0)
-    end_run(state, key, one, EndKind.DONE, "", NOW + 3.0)
+    runner_state.set_pace(run, 50, NOW + 1.0)
+    end_run(state, key, runner_state, EndKind.DONE, "", NOW + 3.0)
     assert round(state.times.learned_state()[0].y, 3) == round(math.log(2000.0), 3)
 
 
 def test_a_lasting_task_that_ran_before_goes_to_a_quarantined_runner_rather_than_nowhere() -> None:
     """The task waited beside free capacity for up to 16 s and counted as lost."""
-    one, full = runner("i-1"), runner("i-2", 1000)
-    one.quarantine(NOW)
-    state = leader(one, full)
+    first, full = runner("i-1"), runner("i-2", 1000)
+    first.quarantine(NOW)
+    state = leader(first, full)
     state.routes = {RouteName("q"): RoutePolicy(SERVICE, 0, 3)}
     record = JobRecord(RouteName("q"), SERVICE, 0, 3, 100, 2.0, Workflow("", (SERVING,)))
     ran = Progress("running", (StoredStep(0, 0, False, (StoredTask(0, 0, 1),)),))
     state.add_job(JobId("ee"), record, 1, ran, False, NOW, 0.0)
     state.add_job(JobId("ff"), record, 2, None, False, NOW - 5, 0.0)
     place_waiting(state, NOW, 0.0)
-    assert TaskKey(JobId("ee"), 0, 0, 0) in one.runs
-    assert TaskKey(JobId("ff"), 0, 0, 0) not in one.runs
+    assert TaskKey(JobId("ee"), 0, 0, 0) in first.runs
+    assert TaskKey(JobId("ff"), 0, 0, 0) not in first.runs
 
 
-def report(key: TaskKey, figure: float) -> Report:
-    return Report(RunnerId("i-1"), 2000.0, (RunningRow(key, 1, "", 100, figure),), ())
+def report(key: TaskKey, measurement: float) -> Report:
+    return Report(RunnerId("i-1"), 2000.0, (RunningRow(key, 1, "", 100, measurement),), ())
 
 
 def test_a_spell_over_the_target_ends_well_below_it_and_outlives_its_leader() -> None:
-    one = runner("i-1")
-    key = put(one, SERVING, tail_ms=10.0)
-    state = leader(one)
-    one.adopted = False
-    poll = Poll(state.target(one), 0, None, 0)
+    runner_state = runner("i-1")
+    key = put(runner_state, SERVING, tail_ms=10.0)
+    state = leader(runner_state)
+    runner_state.adopted = False
+    poll = Poll(state.target(runner_state), 0, None, 0)
     poll_answered(state, poll, report(key, 120.0), NOW, NOW)
-    assert one.runs[key].over_target_since == NOW - ASSUMED_OVER_TARGET_S
+    assert runner_state.runs[key].over_target_since == NOW - ASSUMED_OVER_TARGET_S
     poll_answered(state, poll, report(key, 95.0), NOW + 0.5, NOW + 0.5)
-    assert one.runs[key].over_target_since == NOW - ASSUMED_OVER_TARGET_S
+    assert runner_state.runs[key].over_target_since == NOW - ASSUMED_OVER_TARGET_S
     poll_answered(state, poll, report(key, 60.0), NOW + 1.0, NOW + 1.0)
-    assert one.runs[key].over_target_since is None
+    assert runner_state.runs[key].over_target_since is None
 
 
 def test_the_mismatched_task_moves_to_its_own_kind() -> None:
@@ -493,31 +495,36 @@
     )
 
 
-def test_two_tasks_change_places_where_there_is_no_room_for_a_third() -> None:
-    one, two = runner("i-1", 13_000), runner("i-2", 13_000)
-    state = leader_with_pairs(one, two)
+def test_two_tasks_are_exchanged_where_a_third_does_not_fit() -> None:
+    first, second = runner("i-1", 13_000), runner("i-2", 13_000)
+    state = leader_with_pairs(first, second)
     keys = [
         add_running_task(state, where, step)
-        for where, step in ((one, SERVING), (one, MISMATCHED), (two, SERVING), (two, MISMATCHED))
+        for where, step in (
+            (first, SERVING),
+            (first, MISMATCHED),
+            (second, SERVING),
+            (second, MISMATCHED),
+        )
     ]
     moves = Regrouping().moves(state, NOW)
     assert sorted(moves) in (
-        [Move(keys[0], one.id, two.id), Move(keys[3], two.id, one.id)],
-        [Move(keys[1], one.id, two.id), Move(keys[2], two.id, one.id)],
+        [Move(keys[0], first.id, second.id), Move(keys[3], second.id, first.id)],
+        [Move(keys[1], first.id, second.id), Move(keys[2], second.id, first.id)],
     )
 
 
-def test_the_place_of_a_task_on_its_way_is_kept_for_it() -> None:
+def test_capacity_is_reserved_for_a_task_that_is_being_moved() -> None:
     """Other tasks took the free capacity; the moved task found none and counted as lost."""
-    one, two = runner("i-1", 8000), runner("i-2", 8000)
-    state = leader_with_pairs(one, two)
-    key = add_running_task(state, one, SERVING)
-    move(state, key, one.id, two.id, NOW)
-    assert place(SERVING, [two], state.contention) == ""
+    first, second = runner("i-1", 8000), runner("i-2", 8000)
+    state = leader_with_pairs(first, second)
+    key = add_running_task(state, first, SERVING)
+    move(state, key, first.id, second.id, NOW)
+    assert place(SERVING, [second], state.contention) == ""
     own = PlacementRequest(SERVING, {}, NO_RUNNER, task=key)
-    assert choose(own, [two], state.contention, NOW) is two
-    two.drop_expired_reservations(NOW + 5)
-    assert place(SERVING, [two], state.contention) == "i-2"
+    assert choose(own, [second], state.contention, NOW) is second
+    second.drop_expired_reservations(NOW + 5)
+    assert place(SERVING, [second], state.contention) == "i-2"
 
 
 def test_a_task_that_has_just_come_is_not_moved_on() -> None:
@@ -550,7 +557,7 @@
     return job
 
 
-def test_what_can_still_make_it_goes_first_and_the_hopeless_last() -> None:
+def test_jobs_that_can_meet_their_objective_go_first_and_hopeless_ones_last() -> None:
     fresh, newer = job_of_age(1.0), job_of_age(0.5)
     begun, late = job_of_age(1.5, begun=True), job_of_age(8.0)
     hopeless = job_of_age(40.0)
@@ -570,7 +577,7 @@
     assert objective_s(JobState(JobId("a"), record, 1), StepTimes()) == 1.5 * 3.5 + 0.25
 
 
-def test_an_inherited_filler_gets_its_pace_anew() -> None:
+def test_an_inherited_filler_gets_a_new_pace() -> None:
     """The previous leader may have slowed the filler; no one else would restore its pace."""
     state = leader()
     step = Step(count=1, millicores=4000, fills=True, image="quiet")
@@ -580,20 +587,20 @@
     task.phase, task.run, task.runner = Phase.BOUND, 1, RunnerId("i-1")
     job.begun = True
     state.add_job(JobId("ab"), record, 1, job.progress(), False, NOW, 0.0)
-    one = state.runners[RunnerId("i-1")]
-    one.entry = runner("i-1").entry
-    run = one.runs[TaskKey(JobId("ab"), 0, 0, 0)]
+    runner_state = state.runners[RunnerId("i-1")]
+    runner_state.entry = runner("i-1").entry
+    run = runner_state.runs[TaskKey(JobId("ab"), 0, 0, 0)]
     run.stage = RunStage.RUNNING
-    put(one, SERVING, job="cd", tail_ms=30.0)
-    set_paces(state, one, NOW)
+    put(runner_state, SERVING, job="cd", tail_ms=30.0)
+    set_paces(state, runner_state, NOW)
     assert paces(state) == [90]
 
 
-def test_a_filler_that_stood_still_works_again_once_nothing_serves_beside_it() -> None:
+def test_a_halted_filler_runs_again_once_nothing_serves_beside_it() -> None:
     """The filler kept the pace it had beside the last serving task and counted as lost."""
-    one = runner("i-1")
-    noisy = put(one, NOISY, job="cd")
-    one.set_pace(one.runs[noisy], 0, NOW - 1)
-    state = leader(one)
-    set_paces(state, one, NOW)
+    runner_state = runner("i-1")
+    noisy = put(runner_state, NOISY, job="cd")
+    runner_state.set_pace(runner_state.runs[noisy], 0, NOW - 1)
+    state = leader(runner_state)
+    set_paces(state, runner_state, NOW)
     assert paces(state) == [100]
--- a/tests/test_placing_pass.py
+++ b/tests/test_placing_pass.py
@@ -42,7 +42,7 @@
 
 
 def test_a_part_weighs_a_bounded_number_of_pairs_and_all_parts_bind_everything() -> None:
-    """2,128 tasks over 350 runners took one pass of 4.5 s; others claimed leadership meanwhile."""
+    """One pass of 2,128 tasks over 350 runners took 4.5 s; others claimed leadership meanwhile."""
     state = _state(200)
     for number in range(400):
         _add(state, number, Step(count=10, millicores=1000, memory_mb=10))
@@ -59,7 +59,7 @@
     assert parts > 1
 
 
-def test_what_fits_nowhere_keeps_nothing_behind_it_from_its_turn() -> None:
+def test_tasks_that_fit_nowhere_do_not_block_tasks_behind_them() -> None:
     state = _state(200)
     for number in range(100):
         _add(state, number, Step(count=1, millicores=40_000, memory_mb=10, lasting=True))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -108,7 +108,7 @@
 
 def test_a_record_that_is_larger_than_a_read_is_asked_for_whole() -> None:
     http = RecordingHttp(answer(200, struct.pack(">QQ", 12, 0)))
-    StoreLog(http, STORE, "jobs").read(10, 700, lambda got: None)
+    StoreLog(http, STORE, "jobs").read(10, 700, lambda result: None)
     queries = [parse_qs(urlsplit(call.path).query) for call in http.calls]
     assert [query["max_kb"] for query in queries] == [["32"], ["320"]]
     assert "waitMs" not in queries[1]
@@ -137,10 +137,10 @@
     """A job's record is not: refusing the second copy would hide that the first was stored."""
     http = RecordingHttp(answer(200, {"offset": 7, "end": 9}))
     log = StoreLog(http, STORE, "jobs")
-    log.append(Append([KeyedRecord("j/a", b"one")]), lambda got: None)
-    log.append(Append([KeyedRecord("p/a", b"one")], WriterFence(3, 5)), lambda got: None)
+    log.append(Append([KeyedRecord("j/a", b"one")]), lambda result: None)
+    log.append(Append([KeyedRecord("p/a", b"one")], WriterFence(3, 5)), lambda result: None)
     http.result = answer(200, struct.pack(">QQ", 10, 0))
-    log.read(10, 700, lambda got: None)
+    log.read(10, 700, lambda result: None)
     assert [call.resend_after_s is not None for call in http.calls] == [False, True, True]
     heartbeat, silent = leadership.HEARTBEAT_S, leadership.LEADER_TIMEOUT_S
     assert http.calls[1].resend_after_s is not None
@@ -205,7 +205,7 @@
     assert results[0].report.whole is whole
 
 
-def test_a_job_is_decoded_once_into_telling_fields() -> None:
+def test_a_job_is_decoded_into_named_fields() -> None:
     body = {
         "spec": "text",
         "steps": [
@@ -253,7 +253,7 @@
     assert table.match("a.example", "/z") is None
 
 
-def test_a_runners_entry_tells_room_labels_and_leaving() -> None:
+def test_a_runners_entry_gives_capacity_labels_and_leaving() -> None:
     raw = {
         "service": "s",
         "address": "10.0.0.1:80",
@@ -340,16 +340,16 @@
     assert "$.ip" in stderr_text
 
 
-class Every:
-    """Stand-in for the timers that only stores the action."""
+class RecordingTimers:
+    """Timers that only store the last action that is to be repeated."""
 
     def every(self, period_s: float, action: Any) -> None:
         self.action = action
 
 
-def test_a_full_standard_output_holds_nothing_up() -> None:
+def test_a_full_standard_output_delays_nothing() -> None:
     reader, writer = os.pipe()
-    telemetry = Telemetry(Every(), "front-1", writer)
+    telemetry = Telemetry(RecordingTimers(), "front-1", writer)
     try:
         for number in range(3000):
             telemetry.log("decided", important=True, number=number, text="x" * 400)
@@ -366,12 +366,12 @@
         os.close(writer)
 
 
-def test_figures_are_told_as_text() -> None:
-    figures = PrometheusMetrics()
-    figures.count("took-over")
-    figures.time("POST 200", 0.03)
-    figures.gauge("leads", 1)
-    text = figures.text().decode()
+def test_metrics_are_exposed_as_text() -> None:
+    metrics = PrometheusMetrics()
+    metrics.count("took-over")
+    metrics.time("POST 200", 0.03)
+    metrics.gauge("leads", 1)
+    text = metrics.text().decode()
     assert 'spoolcrank_events_total{event="took-over"} 1.0' in text
     assert 'spoolcrank_seconds_bucket{le="0.05",what="POST 200"} 1.0' in text
     assert "spoolcrank_leads 1.0" in text
--- a/tests/test_platform_incarnations.py
+++ b/tests/test_platform_incarnations.py
@@ -84,8 +84,8 @@
         results: list[PollResult] = []
         answered = threading.Event()
 
-        def done(got: PollResult) -> None:
-            results.append(got)
+        def done(result: PollResult) -> None:
+            results.append(result)
             answered.set()
 
         poll = Poll(Target(runner, self._address, 4), 57, 486000, wait_ms)
@@ -126,7 +126,7 @@
         # The client had not yet noticed that the connection was closed.
         answered[-1] = leader.poll(FIRST)
     answered += [leader.poll(FIRST), leader.poll(SECOND)]
-    reporting_runners = [got.report.runner for got in answered if got.report is not None]
+    reporting_runners = [result.report.runner for result in answered if result.report is not None]
     assert runner.bodies == [
         POLL_FOR_UNKNOWN_INCARNATION,
         FULL_POLL,
@@ -157,9 +157,9 @@
     runner: RunnerServer, leader: Leader, polled_id: RunnerId
 ) -> None:
     runner.born = None
-    got = [leader.poll(polled_id), leader.poll(polled_id)]
-    assert got[1].report is not None
-    assert got[1].report.runner == RunnerId("i-1")
+    results = [leader.poll(polled_id), leader.poll(polled_id)]
+    assert results[1].report is not None
+    assert results[1].report.runner == RunnerId("i-1")
     assert runner.bodies == [POLL_FOR_UNKNOWN_INCARNATION, FULL_POLL]
 
 
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,8 +1,9 @@
 """Tests of a power loss of all instances at once, in simulated time, at the worst known moments.
 
-What was accepted is in the store, and the runners live on. Therefore every accepted job ends, every
-accepted cancel takes effect, lasting tasks run again, and nothing runs twice. To run more seeds:
-`SPOOLCRANK_POWER_SEEDS=60 pytest tests/test_power_loss.py`; the id of a test contains its seed.
+What was accepted is in the store, and the runners keep running. Therefore every accepted job ends,
+every accepted cancel takes effect, lasting tasks run again, and nothing runs twice. To run more
+seeds: `SPOOLCRANK_POWER_SEEDS=60 pytest tests/test_power_loss.py`; the id of a test contains its
+seed.
 """
 
 import os
@@ -23,7 +24,7 @@
 MUTANT_SEEDS = 40
 LOSSES = 3
 WORK_S = 0.8
-CANCEL_S = 0.3
+MAX_CANCEL_DELAY_S = 0.3
 """Maximum time after the acceptance of a cancel at which a task of its job starts, in seconds:
 the time for the leader's read and for an order in flight, without faults."""
 LATE_APPEND_S = 10.0
@@ -133,27 +134,27 @@
 
 
 def _violations(world: World, clients: Clients) -> list[str]:
-    """Return the violations of what was promised to the clients."""
+    """Return what contradicts the answers that the clients received."""
     index = next(iter(world.instances.values())).index
-    wrong = []
+    violations = []
     for job, request in clients.jobs.items():
         phase = index.phase(JobId(job))
         if IntakeOutcome.STORED in request.outcomes and phase not in FINAL:
-            wrong.append(f"{job} was accepted and is {phase}")
+            violations.append(f"{job} was accepted and is {phase}")
         if IntakeOutcome.STORED in request.outcomes and not request.cancel_sent:
             if phase is not JobPhase.COMPLETED:
-                wrong.append(f"{job} was accepted, not cancelled, and is {phase}")
+                violations.append(f"{job} was accepted, not cancelled, and is {phase}")
         if request.cancelled_at is not None and phase not in (
             JobPhase.CANCELLED,
             JobPhase.COMPLETED,
         ):
-            wrong.append(f"{job} was cancelled and is {phase}")
+            violations.append(f"{job} was cancelled and is {phase}")
     running = [key for runner in world.runners.values() for key in runner.tasks]
-    wrong += [f"{key} still runs" for key in running if key.job != "aaaa"]
+    violations += [f"{key} still runs" for key in running if key.job != "aaaa"]
     running_lasting = sum(key.job == "aaaa" for key in running)
     if running_lasting != LASTING.count:
-        wrong.append(f"{running_lasting} of {LASTING.count} lasting tasks run")
-    return wrong
+        violations.append(f"{running_lasting} of {LASTING.count} lasting tasks run")
+    return violations
 
 
 def _started_after_cancel(world: World, clients: Clients) -> list[str]:
@@ -163,7 +164,7 @@
         for request in [clients.jobs.get(key.job)]
         if request is not None and request.cancelled_at is not None
         for at in starts
-        if at > request.cancelled_at + CANCEL_S
+        if at > request.cancelled_at + MAX_CANCEL_DELAY_S
     ]
 
 
@@ -200,7 +201,9 @@
 
 @pytest.mark.parametrize("trouble", [False, True], ids=["alone", "beside trouble"])
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_what_was_accepted_holds_though_all_instances_lose_power(seed: int, trouble: bool) -> None:
+def test_accepted_jobs_and_cancels_survive_a_power_loss_of_all_instances(
+    seed: int, trouble: bool
+) -> None:
     assert play(seed, trouble) == []
 
 
--- a/tests/test_repeated_ends.py
+++ b/tests/test_repeated_ends.py
@@ -106,5 +106,5 @@
         world.run(EVERY_S)
     world.run(SETTLE_S)
     assert [first.index.phase(JobId(job)) for job in jobs] == [JobPhase.COMPLETED] * JOBS
-    most = max(len(starts) for starts in world.starts.values())
-    assert most <= MAX_STARTS, f"{most} starts of one task"
+    max_starts = max(len(starts) for starts in world.starts.values())
+    assert max_starts <= MAX_STARTS, f"{max_starts} starts of one task"
--- a/tests/test_runner_incarnations.py
+++ b/tests/test_runner_incarnations.py
@@ -40,7 +40,7 @@
         self.world.keeps_id_share = 1.0
         self.kills = False
         self.all_at: tuple[int, ...] = ()
-        self.told: dict[str, list[IntakeOutcome]] = {}
+        self.outcomes: dict[str, list[IntakeOutcome]] = {}
         self.failing = [f"fail{number}" for number in range(JOBS // 10)]
         self.world.failing = dict.fromkeys(self.failing, FAILS_AFTER_S)
         self.world.attempts = dict.fromkeys(self.failing, ATTEMPTS)
@@ -61,7 +61,7 @@
         if number % 10 == 0:
             self._instance().submit(self.failing[number // 10], ALONE, max_attempts=ATTEMPTS)
         job = f"{number:04x}"
-        self.told[job] = self._instance().submit(job, STEP, max_attempts=9)
+        self.outcomes[job] = self._instance().submit(job, STEP, max_attempts=9)
 
     def _instance(self) -> Instance:
         return self.world.instances[self.world.random.choice(sorted(self.world.instances))]
@@ -79,7 +79,11 @@
 
     def unfinished(self) -> list[str]:
         """Return the accepted jobs that are not completed."""
-        accepted = [job for job, got in self.told.items() if IntakeOutcome.STORED in got]
+        accepted = [
+            job
+            for job, job_outcomes in self.outcomes.items()
+            if IntakeOutcome.STORED in job_outcomes
+        ]
         index = self._instance().index
         return [job for job in accepted if index.phase(JobId(job)) is not JobPhase.COMPLETED]
 
--- a/tests/test_shared_link.py
+++ b/tests/test_shared_link.py
@@ -165,7 +165,7 @@
             follower.refresh(results.append)
         link.run(link.now + BUSY_STEP_INTERVAL_S)
     link.run(link.now + LEASE_S)
-    whole = sum(len(record) for record in link.records) * FOLLOWERS
-    assert all(follower.copy.next_offset == len(link.records) for follower in followers)
+    log_bytes = sum(len(record) for record in link.records) * FOLLOWERS
+    assert all(reader.copy.next_offset == len(link.records) for reader in followers)
     assert len(results) == BUSY_STEPS * FOLLOWERS // 3
-    assert link.carried <= whole * 1.1, f"{link.carried / whole:.2f} times the records"
+    assert link.carried <= log_bytes * 1.1, f"{link.carried / log_bytes:.2f} times the records"
--- a/tests/test_stale_log.py
+++ b/tests/test_stale_log.py
@@ -21,7 +21,7 @@
     world = small_world(instances=2)
     leader = world.leader()
     assert leader is not None
-    other = next(item for item in world.instances.values() if item is not leader)
+    other = next(instance for instance in world.instances.values() if instance is not leader)
     for runner in world.runners.values():
         runner.work_s = 5.0
     full = Step(count=32, millicores=1000, memory_mb=100)
--- a/tests/test_start_window.py
+++ b/tests/test_start_window.py
@@ -30,22 +30,22 @@
 FLOOD_EVERY_S = 0.25
 """Interval between jobs of 12 or 40 tasks, in seconds: 260 kB/s of starts for a 125 kB/s link."""
 
-FINISH_S = 14.0
-"""Time after the last submission from which no job may be idle, in seconds."""
+IDLE_CHECK_FROM_S = 14.0
+"""Time after the last submission from which idle times are measured, in seconds."""
 
-LONGEST_IDLE_S = 3.0
+MAX_IDLE_S = 3.0
 """Time without a running task after which a job whose turn has come counts as lost, in seconds."""
 
 SAMPLE_S = 0.25
 
-CUT, OTHER = AvailabilityZone("b"), AvailabilityZone("a")
-AFTER = 1.0 + LATE_ANSWER_S * 1.1
+SILENT_ZONE, OTHER_ZONE = AvailabilityZone("b"), AvailabilityZone("a")
+LATE_AT = 1.0 + LATE_ANSWER_S * 1.1
 """Time at which a start that was sent at 1.0 is late, monotonic seconds."""
 
 JOBS_EVERY_S = 0.125
 """Interval between jobs of three tasks, in seconds: 80 kB/s of starts for a 125 kB/s link."""
 
-PAUSE_S = 0.6
+MAX_START_GAP_S = 0.6
 """Maximum time without a start while work waits, in seconds: an order's time-out."""
 
 CARRIED_S = JOBS * TASKS * 3400 / LINK_BYTES_PER_S
@@ -72,15 +72,15 @@
     assert not world.violations
 
 
-def test_no_start_goes_unanswered_for_the_links_sake() -> None:
+def test_no_start_times_out_because_of_a_full_link() -> None:
     world = small_world(instances=3, runners=45)
     _burst(world)
-    lines = [line for one in world.instances.values() for line in one.logged.lines]
+    lines = [line for instance in world.instances.values() for line in instance.logged.lines]
     refused = [fields for name, fields in lines if name == "start-refused"]
     assert not refused
 
 
-def test_little_is_bound_ahead_of_what_the_link_takes_so_that_urgent_tasks_come_soon() -> None:
+def test_little_is_bound_ahead_of_the_link_so_that_urgent_tasks_start_soon() -> None:
     world = small_world(instances=3, runners=45)
     leader = world.leader()
     assert leader is not None and leader.dispatcher.scheduler is not None
@@ -124,7 +124,7 @@
     assert window.limit == INITIAL_WINDOW_BYTES * SHRINK_FACTOR
 
 
-def test_starts_to_a_zone_that_is_cut_off_do_not_fill_the_window() -> None:
+def test_starts_to_a_partitioned_zone_do_not_fill_the_window() -> None:
     """A fifth of 600 starts a second goes to runners that do not answer."""
     window = StartWindow()
     late = TaskKey(JobId("late"), 0, 0, 0)
@@ -152,7 +152,7 @@
     record = JobRecord(ROUTE, SERVICE, 0, 3, 250, 1.5, Workflow("", (Step(count=1, millicores=1),)))
     state.add_job(JobId("a"), record, 1, None, False, world.now, 0.0)
     place(state, world.now, 0.0)
-    (key,) = [key for one in state.runners.values() for key in one.runs]
+    (key,) = [key for runner in state.runners.values() for key in runner.runs]
     state.starts.limit = 0.0
     batch = take_batch(state)
     assert batch is not None
@@ -182,16 +182,16 @@
     assert key not in runner.runs
 
 
-def test_one_more_start_leaves_where_all_on_their_way_are_unanswered() -> None:
+def test_one_more_start_is_sent_while_all_in_flight_are_unanswered() -> None:
     """With the window full of starts to a partitioned zone, none was sent for two seconds."""
     window = StartWindow(limit=8 * 1024)
     for number in range(2):
-        window.sent(TaskKey(JobId("a"), 0, 0, number), 1, 5000, 1.0, CUT)
+        window.sent(TaskKey(JobId("a"), 0, 0, number), 1, 5000, 1.0, SILENT_ZONE)
     assert not window.may_send(1.0 + LATE_ANSWER_S / 2)
-    assert window.may_send(AFTER)
-    window.sent(TaskKey(JobId("b"), 0, 0, 0), 1, 5000, AFTER, OTHER)
-    assert not window.may_send(AFTER)
-    window.answered(TaskKey(JobId("b"), 0, 0, 0), 1, 0.005, AFTER)
+    assert window.may_send(LATE_AT)
+    window.sent(TaskKey(JobId("b"), 0, 0, 0), 1, 5000, LATE_AT, OTHER_ZONE)
+    assert not window.may_send(LATE_AT)
+    window.answered(TaskKey(JobId("b"), 0, 0, 0), 1, 0.005, LATE_AT)
     assert window.open
 
 
@@ -199,14 +199,14 @@
     """One runner that does not answer must not keep others of its zone from getting starts."""
     window = StartWindow()
     keys = [TaskKey(JobId("a"), 0, 0, number) for number in range(4)]
-    window.sent(keys[0], 1, 500, 1.0, CUT)
-    window.sent(keys[1], 1, 500, 1.0, OTHER)
+    window.sent(keys[0], 1, 500, 1.0, SILENT_ZONE)
+    window.sent(keys[1], 1, 500, 1.0, OTHER_ZONE)
     window.answered(keys[1], 1, 0.005, 1.005)
     assert window.silent_zones(1.005) == frozenset()
-    assert window.silent_zones(AFTER) == {CUT}
+    assert window.silent_zones(LATE_AT) == {SILENT_ZONE}
     window.unanswered(keys[0], 1, 1.6)
-    assert window.silent_zones(1.7) == {CUT}
-    window.sent(keys[2], 1, 500, 1.8, CUT)
+    assert window.silent_zones(1.7) == {SILENT_ZONE}
+    window.sent(keys[2], 1, 500, 1.8, SILENT_ZONE)
     window.answered(keys[2], 1, 0.005, 1.805)
     assert window.silent_zones(1.805) == frozenset()
 
@@ -218,41 +218,45 @@
     """
     window, key = StartWindow(), TaskKey(JobId("a"), 0, 0, 0)
     for sent_at in (1.0, 5.0):
-        window.sent(key, 1, 500, sent_at, CUT)
+        window.sent(key, 1, 500, sent_at, SILENT_ZONE)
         window.unanswered(key, 1, sent_at + 0.6)
         window.zones.record_contact(sent_at + 0.3)
-        assert window.silent_zones(sent_at + 0.7) == {CUT}
+        assert window.silent_zones(sent_at + 0.7) == {SILENT_ZONE}
         assert window.silent_zones(sent_at + 2.1) == frozenset()
 
 
 def test_no_zone_counts_as_silent_while_none_answers() -> None:
     """A leader that was itself delayed has received no answer from any zone."""
     window = StartWindow()
-    for number, zone in enumerate((CUT, OTHER)):
+    for number, zone in enumerate((SILENT_ZONE, OTHER_ZONE)):
         window.sent(TaskKey(JobId("a"), 0, 0, number), 1, 500, 1.0, zone)
-    assert window.silent_zones(AFTER) == frozenset()
+    assert window.silent_zones(LATE_AT) == frozenset()
 
 
 @pytest.mark.parametrize("cut", [16, 24])
-def test_starts_go_on_over_a_small_link_while_a_zone_is_cut_off(cut: int) -> None:
+def test_starts_continue_over_a_small_link_while_a_zone_is_partitioned(cut: int) -> None:
     """Starts to the silent zone filled the window, and nothing started anywhere for 2.5 s."""
     world = small_world(instances=3, runners=48)
     world.link_bytes_per_s = LINK_BYTES_PER_S
-    away = list(world.runners.values())[:cut]
-    for runner in away:
-        runner.zone = CUT
+    partitioned = list(world.runners.values())[:cut]
+    for runner in partitioned:
+        runner.zone = SILENT_ZONE
         world.store.entries.put(runner.id, b"ready")
     world.run(0.5)
     for number in range(100):
         if number == 40:
-            world.unreachable |= {(name, one.name) for name in world.instances for one in away}
+            world.unreachable |= {
+                (name, candidate.name) for name in world.instances for candidate in partitioned
+            }
             cut_at = world.now
         step = Step(count=3, millicores=1000, memory_mb=10, estimate_ms=600)
         world.instances["entry-1"].submit(f"{number:04x}", step, payload=PAYLOAD)
         world.run(JOBS_EVERY_S)
-    started = sorted(at for many in world.starts.values() for at in many if at >= cut_at)
+    started = sorted(
+        at for start_times in world.starts.values() for at in start_times if at >= cut_at
+    )
     longest_s = max(later - earlier for earlier, later in pairwise(started))
-    assert longest_s <= PAUSE_S
+    assert longest_s <= MAX_START_GAP_S
     assert not world.violations
 
 
@@ -263,7 +267,7 @@
     assert not state.orders and key not in runner.runs
 
 
-def test_a_start_that_waited_goes_out_once_the_window_takes_it() -> None:
+def test_a_waiting_start_is_sent_once_the_window_permits_it() -> None:
     state, key, runner = _one_waiting_start()
     order_starts(state, runner.answered_at)
     assert [order.task for order in state.orders if isinstance(order, Start)] == [key]
@@ -304,7 +308,7 @@
     return longest_s
 
 
-def test_no_job_has_nothing_running_for_seconds_once_no_more_come() -> None:
+def test_no_job_is_idle_for_seconds_after_the_last_submission() -> None:
     """A batch job had nothing running for seconds, though its turn had come and runners were free.
 
     It was lost once with 17 instances on links of 1 to 2 Mbit/s; ten later runs lost no job, but in
@@ -322,5 +326,5 @@
         step = Step(count=tasks[job], millicores=1000, memory_mb=10, estimate_ms=600)
         world.instances["entry-1"].submit(job, step, payload=PAYLOAD)
         world.run(FLOOD_EVERY_S)
-    assert _longest_idle_s(world, tasks, FINISH_S) <= LONGEST_IDLE_S
+    assert _longest_idle_s(world, tasks, IDLE_CHECK_FROM_S) <= MAX_IDLE_S
     assert not world.violations
--- a/tests/test_state_source.py
+++ b/tests/test_state_source.py
@@ -5,7 +5,7 @@
 from spoolcrank.state_source import StateSource
 
 
-def _beat(name: str, offset: int) -> Heartbeat:
+def _heartbeat(name: str, offset: int) -> Heartbeat:
     return Heartbeat(
         sender=InstanceId(name),
         incarnation=Incarnation(name),
@@ -22,7 +22,7 @@
     )
 
 
-FIRST, SECOND, THIRD = _beat("one", 30), _beat("two", 20), _beat("three", 10)
+FIRST, SECOND, THIRD = _heartbeat("one", 30), _heartbeat("two", 20), _heartbeat("three", 10)
 
 
 def test_a_peer_that_does_not_answer_does_not_block_queries_to_others() -> None:
@@ -30,10 +30,10 @@
     source = StateSource()
     asked = []
     for _ in range(4):
-        beat = source.pick([THIRD, FIRST, SECOND])
-        assert beat is not None
-        asked.append(beat)
-        source.record_answer(beat.sender, False)
+        heartbeat = source.pick([THIRD, FIRST, SECOND])
+        assert heartbeat is not None
+        asked.append(heartbeat)
+        source.record_answer(heartbeat.sender, False)
     assert asked == [FIRST, SECOND, THIRD, FIRST]
 
 
--- a/tests/test_stop_times.py
+++ b/tests/test_stop_times.py
@@ -45,7 +45,7 @@
 
 
 def test_whatever_is_read_can_be_answered_before_the_end() -> None:
-    """Fails if the time limits of the store's calls exceed what the grace period leaves."""
+    """Guard against time limits of the store's calls that exceed what the grace period leaves."""
     times = stop_times(USUAL_GRACE_S)
     assert times.intake_end_s == INTAKE_END_S
     assert times.intake_end_s + MAX_ANSWER_S + LOOP_LAG_ALLOWANCE_S <= times.answers_end_s
@@ -100,7 +100,7 @@
     assert entered[-1][1] <= stop_times(USUAL_GRACE_S).end_s + 0.1
 
 
-def test_a_loop_held_up_for_seconds_passes_over_no_state() -> None:
+def test_a_loop_delayed_for_seconds_skips_no_state() -> None:
     entered = states(RemainingWork(1, True), 4.0, 40.0)
     assert [state for state, _ in entered] == [
         StopState.REFUSING,
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("outcome", [AppendOutcome.UNKNOWN, AppendOutcome.NOT_STORED])
 @pytest.mark.parametrize("append_s", [0.0, 0.4, 0.6, CALL_TIMEOUT_S])
-def test_a_wish_that_was_passed_on_is_answered_within_its_bound(
+def test_a_submission_is_answered_within_the_append_timeout(
     outcome: AppendOutcome, append_s: float
 ) -> None:
     """Jobs arrive steadily at a store that stores none; each job waits for its own calls only."""
@@ -194,7 +194,7 @@
     assert max(ages) <= APPEND_TIMEOUT_S + TIMER_LAG_S
 
 
-def test_a_question_that_the_store_does_not_answer_is_given_up() -> None:
+def test_a_query_that_the_store_does_not_answer_is_given_up() -> None:
     instance = Instance(AppendOutcome.STORED, 0.0)
     answers: list[Any] = []
     instance.intake.state(JobId("a"), lambda phase: answers.append((phase, instance.loop.now)))
@@ -221,7 +221,7 @@
     assert instance.store.appended == 1
 
 
-def test_a_state_that_is_known_here_is_told_after_the_end_of_intake() -> None:
+def test_a_state_that_is_known_locally_is_reported_after_the_end_of_intake() -> None:
     instance = Instance(AppendOutcome.STORED, 0.0)
     answers: list[Any] = []
     instance.intake.submit(JobId("a"), job(), answers.append)
@@ -237,7 +237,7 @@
         """Discard the line."""
 
 
-def test_what_still_waits_at_the_end_is_answered_for_what_is_known_of_it() -> None:
+def test_requests_that_still_wait_at_the_end_are_answered_by_what_is_known() -> None:
     """A record that may be on the log is never reported as refused; a query may be repeated."""
     route = {
         "name": "q",
@@ -253,30 +253,30 @@
     api = ClientApi(
         instance.intake, lambda: table, lambda done: done(True), log, PrometheusMetrics()
     )
-    got: list[tuple[str, HttpReply]] = []
+    replies: list[tuple[str, HttpReply]] = []
     body = json.dumps({"spec": "x", "steps": [{"count": 1}]}).encode()
 
     def ask(method: str) -> None:
         req = HttpRequest(method, "/q/ab", {}, {"host": "a"}, body, "")
-        api.answer(req, lambda answer: got.append((method, answer)))
+        api.answer(req, lambda answer: replies.append((method, answer)))
 
     for method in ("POST", "GET", "DELETE"):
         ask(method)
     instance.loop.run(100.5)
-    assert got == []
+    assert replies == []
     assert api.give_up() == 3
-    assert {method: answer.status for method, answer in got} == {
+    assert {method: answer.status for method, answer in replies} == {
         "POST": 504,
         "GET": 503,
         "DELETE": 504,
     }
     instance.loop.run(200.0)
-    assert len(got) == 3
+    assert len(replies) == 3
     assert len(api.open_requests) == 0
 
 
-def test_a_claim_on_its_way_when_the_stop_begins_is_given_up_before_intake_ends() -> None:
-    """Otherwise the process ends as leader, because its stop found no leadership to give up."""
+def test_a_claim_in_flight_when_the_stop_begins_is_given_up_before_intake_ends() -> None:
+    """Otherwise the process ends as leader, because it did not lead yet when its stop began."""
     world = World(1)
     for number in range(2):
         world.add_instance(f"entry-{number}")
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -19,17 +19,17 @@
 from tests.fleet_world import Instance, World
 
 SEEDS = range(8)
-LARGE, SMALL = 4, 6
+LARGE_INSTANCES, SMALL_INSTANCES = 4, 6
 JOBS_PER_S = 40.0
 LITTLE = Step(count=1, millicores=10, memory_mb=1, estimate_ms=600)
 
-PLANNED_S = 1.2
+MAX_WAIT_AFTER_STOP_S = 1.2
 """Limit after a planned stop, in seconds: a follower's read, the jitter and a few attempts."""
 
-SILENT_LIMIT_S = 2.6
+MAX_WAIT_AFTER_CRASH_S = 2.6
 """Limit after a crash, in seconds: the leader timeout, the jitter and a few attempts."""
 
-SLOW_LIMIT_S = 4.0
+MAX_WAIT_SLOW_STORE_S = 4.0
 """Limit after a planned stop with answers of 0.1 s, in seconds: each step of it takes an answer,
 most take two."""
 
@@ -39,9 +39,9 @@
     world = World(seed)
     for number in range(6):
         world.add_runner(f"10.0.0.{number}:80", millicores=64_000)
-    for number in range(LARGE):
+    for number in range(LARGE_INSTANCES):
         world.add_instance(f"large-{number}", 2.1)
-    for number in range(SMALL):
+    for number in range(SMALL_INSTANCES):
         world.add_instance(f"small-{number}", 0.3)
     world.run_until(lambda: world.leader() is not None)
     world.run(1.0)
@@ -65,8 +65,8 @@
 
 
 def _leaders(world: World, old: Instance) -> list[Instance]:
-    others = (one for one in world.instances.values() if one is not old)
-    return [one for one in others if one.dispatcher.scheduler is not None]
+    others = (instance for instance in world.instances.values() if instance is not old)
+    return [instance for instance in others if instance.dispatcher.scheduler is not None]
 
 
 def _has_successor(world: World, old: Instance) -> bool:
@@ -93,23 +93,23 @@
     old.dispatcher.leave(lambda: None)
 
 
-def test_the_lead_passes_on_at_a_planned_stop_while_jobs_keep_coming() -> None:
+def test_leadership_passes_on_at_a_planned_stop_while_jobs_keep_coming() -> None:
     waits = _waits(_leave) + _waits(_leave, 2 * JOBS_PER_S)
-    assert max(waits) < PLANNED_S, waits
+    assert max(waits) < MAX_WAIT_AFTER_STOP_S, waits
 
 
 def test_a_dead_leader_is_replaced_while_jobs_keep_coming() -> None:
     waits = _waits(Instance.kill)
-    assert max(waits) < SILENT_LIMIT_S, waits
+    assert max(waits) < MAX_WAIT_AFTER_CRASH_S, waits
 
 
-def test_the_lead_passes_on_while_jobs_keep_coming_and_the_store_is_slow() -> None:
+def test_leadership_passes_on_while_jobs_keep_coming_and_the_store_is_slow() -> None:
     """Claims conditional on the log's end took up to 23.8 s to be stored with answers of 0.1 s."""
     waits = _waits(_leave, answer_s=0.1)
-    assert max(waits) < SLOW_LIMIT_S, waits
+    assert max(waits) < MAX_WAIT_SLOW_STORE_S, waits
 
 
-def test_a_large_instance_takes_the_lead_over_while_jobs_keep_coming() -> None:
+def test_a_large_instance_takes_over_the_leadership_while_jobs_keep_coming() -> None:
     names = []
     for seed in SEEDS:
         world = _busy_world(seed)
@@ -117,5 +117,5 @@
         assert old is not None
         _leave(old)
         world.run_until(partial(_has_successor, world, old), 120.0)
-        names += [one.name for one in _leaders(world, old)]
+        names += [instance.name for instance in _leaders(world, old)]
     assert all(name.startswith("large") for name in names), names
--- a/tests/test_succession_faults.py
+++ b/tests/test_succession_faults.py
@@ -11,36 +11,38 @@
 from spoolcrank.scheduler import Scheduler
 from spoolcrank.store_port import Append, Appended, AppendOutcome
 from spoolcrank.workflow import JobRecord, Phase, RouteName, Step, Workflow
-from tests.fleet_store import CALL_S
+from tests.fleet_store import CALL_TIMEOUT_S
 from tests.fleet_world import Instance, StorePort, small_world
 from tests.test_placing_pass import NOW, SERVICE, _add, _bound, _state
 
-PART_S = 0.124
+PART_DURATION_S = 0.124
 """Time that one part takes on a whole core, including the pause after it, in seconds."""
 
-BESIDE_ROOM_S = 1.0
+MAX_PLACING_DELAY_S = 1.0
 """Time within which a lasting task or urgent job is placed if capacity is free, in seconds."""
 
-SILENT_LIMIT_S = 2.6
+MAX_WAIT_AFTER_CRASH_S = 2.6
 """Limit after a crash, in seconds: the leader timeout, the jitter and a few attempts."""
 
-Way = Callable[[StorePort, Append, Callable[[Appended], None]], None]
+AppendHandler = Callable[[StorePort, Append, Callable[[Appended], None]], None]
 
 
-def _divert(instance: Instance, wanted: Callable[[Append], bool], way: Way, times: int = 1) -> None:
-    """Handle the next `times` matching appends of an instance by `way` instead."""
+def _divert(
+    instance: Instance, matches: Callable[[Append], bool], handle: AppendHandler, times: int = 1
+) -> None:
+    """Handle the next `times` matching appends of an instance by `handle` instead."""
     dispatcher: Any = instance.dispatcher
     port = dispatcher._log
-    straight = port.append
-    left = times
-
-    def append(one: Append, done: Callable[[Appended], None]) -> None:
-        nonlocal left
-        if left > 0 and wanted(one):
-            left -= 1
-            way(port, one, done)
+    forward = port.append
+    remaining = times
+
+    def append(intercepted: Append, done: Callable[[Appended], None]) -> None:
+        nonlocal remaining
+        if remaining > 0 and matches(intercepted):
+            remaining -= 1
+            handle(port, intercepted, done)
         else:
-            straight(one, done)
+            forward(intercepted, done)
 
     port.append = append
 
@@ -50,7 +52,7 @@
 
 
 def _is_progress(append: Append) -> bool:
-    return any(one.key.startswith("p/") for one in append.records)
+    return any(record.key.startswith("p/") for record in append.records)
 
 
 def test_a_leader_that_leads_again_counts_the_leases_of_its_own_last_term() -> None:
@@ -76,7 +78,7 @@
     assert world.violations == []
 
 
-def test_a_claim_that_the_store_turned_away_is_made_again_soon() -> None:
+def test_a_claim_that_the_store_refused_is_repeated_soon() -> None:
     world = small_world(instances=8)
     world.run(1.0)
     leader = world.leader()
@@ -88,10 +90,10 @@
     for instance in world.instances.values():
         _divert(instance, _is_claim, refuse, times=2)
     leader.kill()
-    assert world.run_until(lambda: world.leader() is not None) < SILENT_LIMIT_S
+    assert world.run_until(lambda: world.leader() is not None) < MAX_WAIT_AFTER_CRASH_S
 
 
-def test_a_claim_done_late_leaves_a_leader_alone_that_is_back() -> None:
+def test_a_claim_stored_late_does_not_depose_a_leader_that_is_back() -> None:
     world = small_world(instances=4)
     leader = world.leader()
     assert leader is not None
@@ -100,7 +102,7 @@
 
     def late(port: StorePort, append: Append, done: Callable[[Appended], None]) -> None:
         world.at(3.0, lambda: port.topic.append(append))
-        port.instance.later(CALL_S, lambda: done(Appended(AppendOutcome.UNKNOWN)))
+        port.instance.later(CALL_TIMEOUT_S, lambda: done(Appended(AppendOutcome.UNKNOWN)))
         sent.append(port.instance)
 
     for instance in world.instances.values():
@@ -116,7 +118,7 @@
     assert leader.dispatcher.scheduler is not None
 
 
-def test_a_claim_read_back_while_the_log_is_loaded_anew_is_taken_up() -> None:
+def test_a_claim_read_back_while_the_log_is_reloaded_takes_effect() -> None:
     world = small_world(instances=1)
     leader = world.leader()
     assert leader is not None
@@ -124,13 +126,13 @@
         leader.submit(f"{number:x}", Step(count=1, millicores=1000, memory_mb=1))
     world.run(2.0)
 
-    def kept(port: StorePort, append: Append, done: Callable[[Appended], None]) -> None:
+    def store_and_reload(port: StorePort, append: Append, done: Callable[[Appended], None]) -> None:
         port.topic.append(append)
         port.instance.later(0.004, lambda: done(Appended(AppendOutcome.STORED)))
         instance.follower.begin()
 
     instance = leader
-    _divert(leader, _is_claim, kept)
+    _divert(leader, _is_claim, store_and_reload)
     leader.dispatcher._step_down("trial")
     world.run(10.0)
     assert leader.dispatcher.scheduler is not None
@@ -143,15 +145,15 @@
         for runner in state.runners.values():
             runner.answered_at = now
         place(state, now, 0.0)
-        now += PART_S
+        now += PART_DURATION_S
     return now - NOW
 
 
-def test_a_gang_of_more_pairs_than_a_part_keeps_nothing_behind_it_from_its_turn() -> None:
+def test_a_gang_of_more_pairs_than_a_part_does_not_block_tasks_behind_it() -> None:
     state = _state(350)
     _add(state, 1, Step(count=60, millicores=40_000, memory_mb=10, gang=True))
     _add(state, 2, Step(count=3, millicores=1000, memory_mb=10))
-    assert _parts_until(state, lambda: _bound(state) == 3) < BESIDE_ROOM_S
+    assert _parts_until(state, lambda: _bound(state) == 3) < MAX_PLACING_DELAY_S
 
 
 def test_a_lasting_task_that_fails_in_a_long_pass_runs_again_at_once() -> None:
@@ -166,7 +168,7 @@
     for number in range(1, 401):
         _add(state, number, Step(count=10, millicores=10, memory_mb=1))
     end_run(state, key, runner, EndKind.FAILED, "", NOW)
-    assert _parts_until(state, lambda: task.phase is Phase.BOUND) < BESIDE_ROOM_S
+    assert _parts_until(state, lambda: task.phase is Phase.BOUND) < MAX_PLACING_DELAY_S
 
 
 def test_an_urgent_job_that_comes_in_a_long_pass_is_not_held_back_by_misses_before_it() -> None:
@@ -183,4 +185,4 @@
     state.add_job(JobId("ffff"), record, 5000, None, False, NOW, 0.0)
     job = state.jobs[JobId("ffff")]
     waited = _parts_until(state, lambda: next(iter(job.bound()), None) is not None)
-    assert waited < BESIDE_ROOM_S
+    assert waited < MAX_PLACING_DELAY_S
--- a/tests/test_taken_ledger.py
+++ b/tests/test_taken_ledger.py
@@ -48,11 +48,11 @@
 
     The successor's claim is appended, and one read of the log fails before the successor reads the
     claim back. It takes a peer's ledger, which already holds the claim, and reads on after it. When
-    only the record of a claim made a server owned, the other instances saw it held by a live
-    process and its owner saw it as its own, but none adopted it: tasks stayed on that server and
-    never ran. The fault was found by reading the code, after three tests of real processes had jobs
-    that had not ended 60 s after an owner was killed, paused or partitioned, once each under other
-    load.
+    only the record of a claim made a server owned, the other instances saw that a live
+    process owned it and its owner saw it as its own, but none adopted it: tasks stayed on that
+    server and never ran. The fault was found by reading the code, after three tests of real
+    processes had jobs that had not ended 60 s after an owner was killed, paused or partitioned,
+    once each under other load.
     """
     world = World()
     owner = next(name for name in OWNERS if server in world.owners[name].core.owned)
--- a/tests/test_takeover_beside_silence.py
+++ b/tests/test_takeover_beside_silence.py
@@ -11,19 +11,19 @@
 WORK_S = 20.0
 """Longer than a leader may take to reach a runner that answers, and than its leases last."""
 
-LAPSED_S = 10.0
+LEASES_EXPIRED_AFTER_S = 10.0
 """Time after a takeover by which every lease of the earlier leader has expired, in seconds."""
 
 JOBS = 16
 
-REACHED_S = 1.2
+MAX_REACH_S = 1.2
 """Limit from a takeover until every reachable runner has answered, in seconds; two poll
 time-outs."""
 
-OTHER_ZONE_S = 0.8
+MAX_REACH_OTHER_ZONES_S = 0.8
 """The same limit if all silent runners are in one availability zone, in seconds."""
 
-BACK_S = 1.5
+MAX_RETURN_S = 1.5
 """Limit from a partition's end until every runner behind it has answered, in seconds: the poll in
 flight, the pause after it, and the polls of the others."""
 
@@ -40,13 +40,13 @@
     for number in range(JOBS):
         leader.submit(f"{number:04x}", WORK)
     world.run(2.0)
-    every = sorted(world.runners.values(), key=lambda one: one.id)
-    cut = every[:out_of_reach] if lowest else every[len(every) - out_of_reach :]
-    for one in cut if in_one_zone else []:
-        one.zone = "b"
-        world.store.entries.put(one.id, b"ready")
+    by_id = sorted(world.runners.values(), key=lambda candidate: candidate.id)
+    cut = by_id[:out_of_reach] if lowest else by_id[len(by_id) - out_of_reach :]
+    for candidate in cut if in_one_zone else []:
+        candidate.zone = "b"
+        world.store.entries.put(candidate.id, b"ready")
     world.run(0.5)
-    world.unreachable |= {(name, one.name) for name in world.instances for one in cut}
+    world.unreachable |= {(name, candidate.name) for name in world.instances for candidate in cut}
     return world, cut
 
 
@@ -63,65 +63,74 @@
 
 def _answered(scheduler: Scheduler, runners: list[Runner]) -> bool:
     known = scheduler.runners
-    return all(one.incarnation_id in known and known[one.incarnation_id].adopted for one in runners)
+    return all(
+        runner.incarnation_id in known and known[runner.incarnation_id].adopted
+        for runner in runners
+    )
 
 
 @pytest.mark.parametrize("lowest", [True, False], ids=["lowest ids", "highest ids"])
 @pytest.mark.parametrize(
     ("runners", "silent"), [(80, 0), (80, 31), (80, 32), (80, 40), (120, 60), (240, 120)]
 )
-def test_silent_runners_keep_no_other_from_being_asked(
+def test_silent_runners_do_not_delay_polls_of_others(
     runners: int, silent: int, lowest: bool
 ) -> None:
     """A takeover with 32 silent runners polled no others, and their tasks ran again elsewhere."""
     world, cut = _fleet(runners, silent, lowest)
     scheduler = _taken_over(world)
-    reachable = [one for one in world.runners.values() if one not in cut]
-    world.run_until(lambda: _answered(scheduler, reachable), limit_s=REACHED_S)
+    reachable = [runner for runner in world.runners.values() if runner not in cut]
+    world.run_until(lambda: _answered(scheduler, reachable), limit_s=MAX_REACH_S)
     assert world.violations == []
 
 
-def test_a_zone_cut_off_keeps_no_other_zone_from_being_asked() -> None:
+def test_a_partitioned_zone_does_not_delay_polls_of_other_zones() -> None:
     """Polled in list order alone, half of a large fleet waited for the other half to time out."""
     world, cut = _fleet(660, 330, in_one_zone=True)
     scheduler = _taken_over(world)
-    reachable = [one for one in world.runners.values() if one not in cut]
-    world.run_until(lambda: _answered(scheduler, reachable), limit_s=OTHER_ZONE_S)
+    reachable = [runner for runner in world.runners.values() if runner not in cut]
+    world.run_until(lambda: _answered(scheduler, reachable), limit_s=MAX_REACH_OTHER_ZONES_S)
     assert world.violations == []
 
 
-def test_runs_beside_silent_runners_go_on_where_they_are() -> None:
+def test_runs_on_reachable_runners_continue_beside_silent_ones() -> None:
     """Running tasks on reachable runners were treated as lapsed, and ran again."""
     world, cut = _fleet(80, 40)
-    reachable = [one for one in world.runners.values() if one not in cut]
-    at_work = {key for one in reachable for key in one.tasks}
-    assert at_work
+    reachable = [runner for runner in world.runners.values() if runner not in cut]
+    running = {key for runner in reachable for key in runner.tasks}
+    assert running
     _taken_over(world)
-    world.run(LAPSED_S)
-    assert {key for key in at_work if len(world.starts[key]) > 1} == set()
+    world.run(LEASES_EXPIRED_AFTER_S)
+    assert {key for key in running if len(world.starts[key]) > 1} == set()
     assert world.violations == []
 
 
-def test_runners_back_from_a_cut_are_asked_in_turn_and_soon() -> None:
+def test_runners_back_from_a_partition_are_polled_in_turn_and_soon() -> None:
     """Polled in list order alone, the runners at its end waited for those at its head."""
     world, cut = _fleet(240, 120)
     scheduler = _taken_over(world)
     world.run(5.0)
     world.unreachable.clear()
-    world.run_until(lambda: _answered(scheduler, cut), limit_s=BACK_S)
+    world.run_until(lambda: _answered(scheduler, cut), limit_s=MAX_RETURN_S)
     assert world.violations == []
 
 
-def test_runners_back_from_a_cut_answer_a_few_at_once() -> None:
+def test_runners_back_from_a_partition_are_polled_a_few_at_once() -> None:
     """All answers at once would delay the heartbeat of a leader with half a core."""
     world, cut = _fleet(240, 120)
     scheduler = _taken_over(world)
     world.run(5.0)
     world.unreachable.clear()
-    back_at, most = world.now, 0
+    back_at, max_polled = world.now, 0
     for _ in range(1600):
         world.run(0.001)
-        known = [one for one in scheduler.runners.values() if one.polling and not one.adopted]
-        most = max(most, sum(1 for one in known if one.polled_at >= back_at))
+        known = [
+            candidate
+            for candidate in scheduler.runners.values()
+            if candidate.polling and not candidate.adopted
+        ]
+        max_polled = max(
+            max_polled, sum(1 for candidate in known if candidate.polled_at >= back_at)
+        )
     assert _answered(scheduler, cut)
-    assert 0 < most <= MAX_CONCURRENT_FIRST_POLLS
+    assert 0 < max_polled <= MAX_CONCURRENT_FIRST_POLLS
--- a/tests/test_waiting_order.py
+++ b/tests/test_waiting_order.py
@@ -6,8 +6,8 @@
 
 TEAM = "renewals"
 RUN_S = 6.0
-SOON_S = 20.0
-MANY = 100
+MAX_WAIT_S = 20.0
+BLOCKED_COUNT = 100
 
 
 def _open_jobs(world: World) -> set[str]:
@@ -22,10 +22,10 @@
     waits for 36 tasks of 6 s, one at a time.
     """
     world = World(Policy(quotas={TEAM: 2.0}))
-    world.submit(MANY, RUN_S, True, team=TEAM)
+    world.submit(BLOCKED_COUNT, RUN_S, True, team=TEAM)
     world.advance(1.0)
     world.submit(1, 1.0, True, name="other")
-    world.advance(SOON_S)
+    world.advance(MAX_WAIT_S)
     assert _open_jobs(world) == {"job-1"}
 
 
@@ -35,22 +35,22 @@
     With the fault the last job waits for 36 tasks of 6 s, one at a time.
     """
     world = World(Policy(quotas={TEAM: 2.0}))
-    for number in range(MANY):
+    for number in range(BLOCKED_COUNT):
         world.submit(1, RUN_S, True, name=f"small-{number}", team=TEAM)
     world.advance(1.0)
     world.submit(1, 1.0, True, name="other")
-    world.advance(SOON_S)
-    assert f"job-{MANY + 1}" not in _open_jobs(world)
+    world.advance(MAX_WAIT_S)
+    assert f"job-{BLOCKED_COUNT + 1}" not in _open_jobs(world)
 
 
 def test_tasks_too_large_for_what_is_free_do_not_keep_small_ones_waiting() -> None:
     world = World()
     world.submit(2, 60.0, True, name="first")
     world.advance(8.0)
-    world.submit(MANY, RUN_S, True, name="large", processors=4.0)
+    world.submit(BLOCKED_COUNT, RUN_S, True, name="large", processors=4.0)
     world.advance(1.0)
     world.submit(1, 1.0, True, name="small", processors=0.5)
-    world.advance(SOON_S)
+    world.advance(MAX_WAIT_S)
     assert _open_jobs(world) == {"job-1", "job-2"}
 
 
@@ -64,7 +64,7 @@
     world = World()
     world.submit(1, 1.0, True, processors=CAPACITY.processors)
     world.submit(1, 1.0, True, name="urgent", processors=CAPACITY.processors, urgency=9)
-    world.advance(SOON_S)
+    world.advance(MAX_WAIT_S)
     ledger = next(iter(world.owners.values())).core.ledger
     states = {task.job: task.state for task in ledger.tasks.values()}
     assert states == {"job-1": TaskState.REFUSED, "job-2": TaskState.FINISHED}
--- a/tests/test_web_stop.py
+++ b/tests/test_web_stop.py
@@ -35,15 +35,15 @@
     def do(self, action: Callable[[], Any]) -> Any:
         """Run an action in the loop and return its result."""
         done = threading.Event()
-        got: list[Any] = []
+        results: list[Any] = []
 
         def act() -> None:
-            got.append(action())
+            results.append(action())
             done.set()
 
         self._runtime.post(act)
         assert done.wait(WAIT_S)
-        return got[0]
+        return results[0]
 
     def wait(self, what: Callable[[], bool]) -> None:
         until = time.monotonic() + WAIT_S
@@ -83,10 +83,10 @@
 
 
 def read_to_end(conn: socket.socket) -> bytes:
-    got = b""
+    received = b""
     while block := conn.recv(1 << 20):
-        got += block
-    return got
+        received += block
+    return received
 
 
 def test_an_answer_counts_as_unanswered_until_the_kernel_has_it(served: ServerInThread) -> None:
@@ -114,9 +114,9 @@
     served.wait(lambda: len(served.requests) == 2)
     time.sleep(0.2)
     served.answer(b"second")
-    got = read_to_end(conn)
-    assert got.count(b"HTTP/1.1 200") == 2
-    assert got.endswith(b"second")
+    received = read_to_end(conn)
+    assert received.count(b"HTTP/1.1 200") == 2
+    assert received.endswith(b"second")
 
 
 def test_a_client_that_goes_leaves_nothing_unanswered(served: ServerInThread) -> None:
--- a/tests/test_workflow.py
+++ b/tests/test_workflow.py
@@ -26,12 +26,12 @@
 
 
 def test_stored_progress_is_read_back_whole_and_its_phase_alone() -> None:
-    marks = tuple(
+    stored_tasks = tuple(
         StoredTask(number, 1, 2, "i-0fd5f8c7fd", "00000bb87a21d94b") for number in range(9)
     )
     for phase in JobPhase:
         progress = Progress(
-            phase.value, (StoredStep(0, 0, True), StoredStep(0, 1, False, marks)), 3
+            phase.value, (StoredStep(0, 0, True), StoredStep(0, 1, False, stored_tasks)), 3
         )
         value = encode_progress(progress)
         assert decode_progress(value) == progress
