--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -140,7 +140,7 @@
             owner_core.policy,
             10.0,
         )
-        owned.next_at = 1e9
+        owned.next_poll_at = 1e9
     return owner_core
 
 
--- a/spoolcrank/core.py
+++ b/spoolcrank/core.py
@@ -182,7 +182,7 @@
         owned.claimed_at = now
         owned.phase = Phase.ADOPTING
         owned.adopted_at = float("inf")
-        owned.next_at = float("-inf")
+        owned.next_poll_at = float("-inf")
 
 
 def _recover(core: Core, owned: OwnedServer, now: float) -> list[CoreAction]:
--- a/spoolcrank/debounce.py
+++ b/spoolcrank/debounce.py
@@ -41,7 +41,7 @@
         self._scheduled = False
         self._last_decision_s = 0.0
 
-    def wake(self) -> None:
+    def schedule_decision(self) -> None:
         """Schedule a decision, unless one is scheduled already."""
         if not self._scheduled:
             self._scheduled = True
--- a/spoolcrank/dispatcher.py
+++ b/spoolcrank/dispatcher.py
@@ -74,7 +74,7 @@
         log: LogPort,
         follower: LogFollower,
         runner_follower: LogFollower,
-        runner_of: Callable[[str, bytes], RunnerEntry],
+        decode_runner_entry: Callable[[str, bytes], RunnerEntry],
         runners: RunnerPort,
         timers: Timers,
         telemetry: Telemetry,
@@ -88,7 +88,9 @@
         self._log = log
         self._follower = follower
         self._runner_follower = runner_follower
-        self._directory = RunnerDirectory(runner_of, partial(log_unreadable_entry, telemetry))
+        self._directory = RunnerDirectory(
+            decode_runner_entry, partial(log_unreadable_entry, telemetry)
+        )
         self._sender = OrderSender(runners, clock, self._on_answer, self._guard)
         self._timers = timers
         self._telemetry = telemetry
@@ -103,7 +105,7 @@
         self._claiming = Claiming(leadership, log, follower, telemetry, clock)
         self._leaving = False
         debouncer = Debouncer(timers, clock, self._decide_now)
-        self._decide_soon, self._decide_at_once = debouncer.wake, debouncer.decide
+        self._decide_soon, self._decide_at_once = debouncer.schedule_decision, debouncer.decide
         self._successor = NO_SUCCESSOR
         self._monitor = LeadershipMonitor(clock())
         self._on_resigned: Callable[[], None] | None = None
@@ -144,7 +146,7 @@
         if done is not None:
             done()
 
-    def on_news(self, records: list[KeyedRecord]) -> None:
+    def on_log_records(self, records: list[KeyedRecord]) -> None:
         """Apply records read from the scheduler's log; log and skip unreadable ones."""
         now = self._clock()
         for record in records:
--- a/spoolcrank/ledger_records.py
+++ b/spoolcrank/ledger_records.py
@@ -8,7 +8,7 @@
 from spoolcrank.ids import NO_EPOCH, task_id
 from spoolcrank.jobs import ENDED, JobClass, JobSpec, TaskState
 from spoolcrank.ledger import Claim, Drain, Job, Key, Ledger, Task, Verdict, Writer
-from spoolcrank.lost_tasks import causes_crashes, pause_s, with_crash
+from spoolcrank.lost_tasks import causes_crashes, restart_delay_s, with_crash
 from spoolcrank.records import (
     Claimed,
     DeclaredLost,
@@ -155,7 +155,7 @@
         backoff_index = min(task.failures + (rec.how == "refused"), len(RESTART_BACKOFF_S) - 1)
         task.not_before = at + RESTART_BACKOFF_S[backoff_index]
     if task.state is TaskState.PENDING and rec.crash is not None:
-        task.not_before = at + pause_s(len(task.crashes))
+        task.not_before = at + restart_delay_s(len(task.crashes))
     _decrement_open_if_ended(job, task)
     ledger._add_to_indexes(task)
 
--- a/spoolcrank/lost_tasks.py
+++ b/spoolcrank/lost_tasks.py
@@ -80,6 +80,6 @@
     return enough or len(soon) >= CERTAIN_CRASHES
 
 
-def pause_s(crashes: int) -> float:
+def restart_delay_s(crashes: int) -> float:
     """Return how long a task waits before its next start, in seconds."""
     return RESTART_DELAYS_S[min(crashes, len(RESTART_DELAYS_S)) - 1] if crashes else 0.0
--- a/spoolcrank/owned_server.py
+++ b/spoolcrank/owned_server.py
@@ -69,7 +69,7 @@
     contacted_at: float | None = None
     previous_contact_at: float | None = None
     last_renew_at: float = float("-inf")
-    next_at: float = float("-inf")
+    next_poll_at: float = float("-inf")
     seq: int = 0
     waiting: int = 0
     inherited_until: float = 0.0
--- a/spoolcrank/pacing.py
+++ b/spoolcrank/pacing.py
@@ -69,7 +69,7 @@
             shares[run.image] = shares.get(run.image, 0.0) + runner.share(row.measurement)
     for end in report.ended:
         run = runner.runs.get(end.task)
-        if end.number > runner.seen_next and run is not None and run.number == end.run:
+        if end.number > runner.last_handled_end and run is not None and run.number == end.run:
             if run.fills:
                 fraction = min(1.0, max(0.0, now - run.since) / REPORT_WINDOW_S)
                 used_share = runner.share(run.used_millicores or run.paced_millicores * fraction)
--- a/spoolcrank/placing.py
+++ b/spoolcrank/placing.py
@@ -132,7 +132,7 @@
         return True
     pools = _responsive_pools(state, now)
     current = state.placing
-    current.begin_part(state.starts.room(state.pending_start_bytes(), now))
+    current.begin_part(state.starts.bindable_bytes(state.pending_start_bytes(), now))
     ready = [(_rank(state, state.jobs[job_id], now), state.jobs[job_id]) for job_id in state.ready]
     ready.sort(key=lambda ranked: ranked[0])
     if state.starts.held_back and not current.spent:
--- a/spoolcrank/platform/clients.py
+++ b/spoolcrank/platform/clients.py
@@ -9,7 +9,7 @@
 from spoolcrank.ids import JobId
 from spoolcrank.job_intake import IntakeOutcome, JobIntake
 from spoolcrank.open_requests import OpenRequest, OpenRequests, WaitReason
-from spoolcrank.platform.documents import workflow_of
+from spoolcrank.platform.documents import decode_workflow
 from spoolcrank.prometheus_metrics import PrometheusMetrics
 from spoolcrank.routes import Route, RouteTable
 from spoolcrank.telemetry import Telemetry
@@ -125,7 +125,7 @@
 
     def _submit(self, open_request: OpenRequest, route: Route, job: JobId) -> None:
         try:
-            workflow = workflow_of(open_request.request.body)
+            workflow = decode_workflow(open_request.request.body)
         except SpoolcrankError as exc:
             self._refuse(open_request, exc.refusal.kind, exc.refusal.detail)
             return
--- a/spoolcrank/platform/daemon.py
+++ b/spoolcrank/platform/daemon.py
@@ -22,7 +22,7 @@
 from spoolcrank.mechanisms import Mechanism, switched_off
 from spoolcrank.planned_stop import stop_times
 from spoolcrank.platform.clients import ClientApi
-from spoolcrank.platform.documents import configuration_of, evacuated_zones, runner_of
+from spoolcrank.platform.documents import decode_configuration, decode_runner_entry, evacuated_zones
 from spoolcrank.platform.runners import PlatformRunners
 from spoolcrank.platform.settings import FILE_VARIABLE, PlatformSettings, read_settings
 from spoolcrank.platform.store import StoreLog
@@ -88,7 +88,7 @@
             log,
             self.follower,
             self._runners,
-            runner_of,
+            decode_runner_entry,
             PlatformRunners(http),
             timers,
             self.telemetry,
@@ -140,7 +140,7 @@
     def _on_job_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
             self.index.apply_record(record)
-        self.dispatcher.on_news(records)
+        self.dispatcher.on_log_records(records)
 
     def _on_operator_records(self, records: list[KeyedRecord]) -> None:
         self.dispatcher.evacuate_zones(evacuated_zones(self._configuration.copy))
@@ -148,7 +148,7 @@
             if record.key != _CONFIGURATION_KEY or not record.value:
                 continue
             try:
-                table = configuration_of(record.value)
+                table = decode_configuration(record.value)
             except Unreadable as exc:
                 # The previous configuration stays in force, with all its routes.
                 self.telemetry.log(
--- a/spoolcrank/platform/documents.py
+++ b/spoolcrank/platform/documents.py
@@ -10,7 +10,7 @@
 from spoolcrank.ids import Address, AvailabilityZone, ServiceName
 from spoolcrank.keyed_log import KeyedLog
 from spoolcrank.routes import Route, RouteTable
-from spoolcrank.runner_ids import START_MARK, RunnerName, runner_id
+from spoolcrank.runner_ids import START_SEPARATOR, RunnerName, runner_id
 from spoolcrank.runner_state import RunnerEntry
 from spoolcrank.workflow import Demand, RouteName, Step, Workflow
 
@@ -109,7 +109,7 @@
 
 
 @raises_unreadable
-def configuration_of(value: bytes) -> RouteTable:
+def decode_configuration(value: bytes) -> RouteTable:
     """Decode the operator's configuration; raise Unreadable if any part of it is invalid."""
     raw = _decode_configuration(value)
     if len({route.name for route in raw.routes}) < len(raw.routes):
@@ -139,9 +139,9 @@
     )
 
 
-def runner_of(runner: str, value: bytes) -> RunnerEntry:
+def decode_runner_entry(runner: str, value: bytes) -> RunnerEntry:
     """Decode a runner's entry in the list of runners; raise Unreadable if it is invalid."""
-    if START_MARK in runner:
+    if START_SEPARATOR in runner:
         raise Unreadable(f"{runner!r} is not a valid runner name")
     raw = _decode_valid_server(value)
     return RunnerEntry(
@@ -175,7 +175,7 @@
         raise ValueError(f"{address!r} has no valid port")
 
 
-def workflow_of(body: bytes) -> Workflow:
+def decode_workflow(body: bytes) -> Workflow:
     """Decode a client's job; raise SpoolcrankError with the invalid field or syntax error."""
     try:
         raw = _decode_job(body)
--- a/spoolcrank/polling.py
+++ b/spoolcrank/polling.py
@@ -127,7 +127,7 @@
     since_poll_s = now - runner.polled_at
     if _fence_is_urgent(runner, now):
         return True
-    if runner.seen_next > runner.seen:
+    if runner.last_handled_end > runner.seen:
         # Its reported ends are not stored yet, so a poll would return them at once. The lease
         # has to be extended meanwhile.
         return since_poll_s >= IDLE_POLL_INTERVAL_S
--- a/spoolcrank/run_control.py
+++ b/spoolcrank/run_control.py
@@ -118,9 +118,9 @@
 
 
 def _handle_end(state: Scheduler, runner: RunnerState, row: EndedRow, now: float) -> None:
-    if row.number <= runner.seen_next:
+    if row.number <= runner.last_handled_end:
         return
-    runner.seen_next = row.number
+    runner.last_handled_end = row.number
     run = runner.runs.get(row.task)
     if run is None or run.number != row.run:
         if not handle_late_end(state, runner, row, now):
@@ -137,7 +137,7 @@
     """
     if report.unreadable:
         state.log_event("rows-unreadable", runner=runner.id, rows=report.unreadable)
-    runner.seen_next = max(runner.seen_next, *report.unreadable_ends, 0)
+    runner.last_handled_end = max(runner.last_handled_end, *report.unreadable_ends, 0)
 
 
 def _log_unknown_end(state: Scheduler, runner: RunnerState, row: EndedRow) -> None:
--- a/spoolcrank/runner_ids.py
+++ b/spoolcrank/runner_ids.py
@@ -14,7 +14,7 @@
 
 RunnerName = NewType("RunnerName", str)
 
-START_MARK = "@"
+START_SEPARATOR = "@"
 """Separator between the name and the time of the start; no name may contain it."""
 
 FENCES_PER_TERM = 1024
@@ -40,17 +40,17 @@
             clock may step: different times mean different incarnations, but do not show which one
             is later.
     """
-    return RunnerId(name if started_ms is None else f"{name}{START_MARK}{started_ms:x}")
+    return RunnerId(name if started_ms is None else f"{name}{START_SEPARATOR}{started_ms:x}")
 
 
 def name_of(runner: RunnerId) -> RunnerName:
     """Return the name that an incarnation shares with those before and after it."""
-    return RunnerName(runner.partition(START_MARK)[0])
+    return RunnerName(runner.partition(START_SEPARATOR)[0])
 
 
 def knows_start(runner: RunnerId) -> bool:
     """Return whether an id distinguishes one incarnation from the others of its name."""
-    return START_MARK in runner
+    return START_SEPARATOR in runner
 
 
 def answers_for(answered: RunnerId, asked: RunnerId) -> bool:
--- a/spoolcrank/runner_state.py
+++ b/spoolcrank/runner_state.py
@@ -124,7 +124,7 @@
             lease.
         earlier_grants_known: whether `granted_ms` also covers the grants of earlier leaders.
         seen: number of the last end that is stored; the runner may forget its ends up to it.
-        seen_next: value of `seen` once the pending writes are stored.
+        last_handled_end: value of `seen` once the pending writes are stored.
         silent_since: time at which it stopped answering; None while it answers.
         ids_at_address: ids of other entries with its address, about which it has been polled.
         evacuated: whether its zone is evacuated, so that nothing more may start there.
@@ -155,7 +155,7 @@
     granted_ms: float = 0.0
     earlier_grants_known: bool = False
     seen: int = 0
-    seen_next: int = 0
+    last_handled_end: int = 0
     silent_since: float | None = None
     ids_at_address: frozenset[RunnerId] = NO_RUNNERS
     evacuated: bool = False
--- a/spoolcrank/servers.py
+++ b/spoolcrank/servers.py
@@ -38,9 +38,9 @@
 
 def poll(owned: OwnedServer, ledger: Ledger, policy: Policy, now: float) -> list[Action]:
     """Return the adopt or renew command for a server when it is due."""
-    if now < owned.next_at or owned.waiting:
+    if now < owned.next_poll_at or owned.waiting:
         return []
-    owned.next_at = now + policy.leases.renew_s
+    owned.next_poll_at = now + policy.leases.renew_s
     if owned.phase is not Phase.READY or owned.report is None:
         return [adopt(owned)]
     refs = [AttemptRef(task=run.task, attempt=run.attempt) for run in owned.report.running]
@@ -104,7 +104,7 @@
     if refused.incarnation != owned.incarnation:
         owned.phase = Phase.ADOPTING
         owned.adopted_at = float("inf")
-        owned.next_at = float("-inf")
+        owned.next_poll_at = float("-inf")
     return False
 
 
--- a/spoolcrank/start_window.py
+++ b/spoolcrank/start_window.py
@@ -189,12 +189,14 @@
         self._slow_start = False
         self.limit = max(MIN_WINDOW_BYTES, self.limit * SHRINK_FACTOR)
 
-    def room(self, waiting_bytes: int, now: float) -> float:
+    def bindable_bytes(self, waiting_bytes: int, now: float) -> float:
         """Return the size of the starts, in bytes, for which further tasks may be bound now.
 
         Tasks are bound for a quarter more than the window, so that the link is not idle while the
         store confirms their records.
         """
-        room = BIND_AHEAD_FACTOR * self.limit - self._in_flight_bytes - waiting_bytes
+        bindable_bytes = BIND_AHEAD_FACTOR * self.limit - self._in_flight_bytes - waiting_bytes
         # One byte allows exactly one more start to be bound.
-        return max(1.0, room) if not waiting_bytes and self.may_send(now) else room
+        return (
+            max(1.0, bindable_bytes) if not waiting_bytes and self.may_send(now) else bindable_bytes
+        )
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -21,7 +21,7 @@
 from spoolcrank.leadership import Leadership
 from spoolcrank.log_follower import LogFollower
 from spoolcrank.orders import EndKind, OrderResult
-from spoolcrank.platform.documents import runner_of
+from spoolcrank.platform.documents import decode_runner_entry
 from spoolcrank.runner_state import RunnerEntry
 from spoolcrank.workflow import Demand, JobRecord, RouteName, Step, TaskKey, Workflow
 from tests.fleet_runners import Runner, RunnerPort
@@ -238,7 +238,7 @@
         self.decoded.append(key)
         runner = self.runners.get(key)
         if runner is None or value not in (b"ready", b"draining"):
-            return runner_of(key, value)
+            return decode_runner_entry(key, value)
         return RunnerEntry(
             runner.incarnation_id,
             Address(runner.name),
@@ -336,7 +336,7 @@
     def _handle_records(self, records: list[KeyedRecord]) -> None:
         for record in records:
             self.index.apply_record(record)
-        self.dispatcher.on_news(records)
+        self.dispatcher.on_log_records(records)
 
     def _handle_entries(self, records: list[KeyedRecord]) -> None:
         if records:
--- a/tests/soak/mutant.py
+++ b/tests/soak/mutant.py
@@ -37,7 +37,7 @@
 
     def forget(state: Any, runner: RunnerState, row: Any, now: float) -> None:
         handle_end(state, runner, row, now)
-        runner.seen = runner.seen_next
+        runner.seen = runner.last_handled_end
 
     _replace(run_control, "_handle_end", forget)
 
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -358,7 +358,7 @@
 
 def _acknowledge_before_storing(state: Any, runner: Any, row: Any, now: float) -> None:
     _handle_end(state, runner, row, now)
-    runner.seen = runner.seen_next
+    runner.seen = runner.last_handled_end
 
 
 _start_answered = order_answers.start_answered
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -35,7 +35,7 @@
     time = _Time()
     debouncer = _debouncer(time, [0.0])
     for _ in range(40):
-        debouncer.wake()
+        debouncer.schedule_decision()
     assert len(time.due) == 1
     assert time.fire() == MIN_DEBOUNCE_S
 
@@ -44,12 +44,12 @@
     time = _Time()
     duration_s = [0.008]
     debouncer = _debouncer(time, duration_s)
-    debouncer.wake()
+    debouncer.schedule_decision()
     time.fire()
-    debouncer.wake()
+    debouncer.schedule_decision()
     assert abs(time.fire() - DEBOUNCE_FACTOR * 0.008) < 1e-9
     duration_s[0] = 0.5
-    debouncer.wake()
+    debouncer.schedule_decision()
     time.fire()
-    debouncer.wake()
+    debouncer.schedule_decision()
     assert time.fire() == MAX_DEBOUNCE_S
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -21,7 +21,7 @@
 from spoolcrank.ids import Address, JobId
 from spoolcrank.keyed_log import KeyedRecord, cancel_key, job_key, progress_key
 from spoolcrank.orders import EndKind, OrderResult, Poll, Start, Stop, Target
-from spoolcrank.platform.documents import configuration_of, runner_of
+from spoolcrank.platform.documents import decode_configuration, decode_runner_entry
 from spoolcrank.platform.runners import PlatformRunners
 from spoolcrank.platform.store import StoreLog
 from spoolcrank.runner_port import PollResult
@@ -293,7 +293,7 @@
     value: bytes,
 ) -> None:
     with pytest.raises(ValueError):
-        configuration_of(value)
+        decode_configuration(value)
 
 
 # The scheduler's own records
@@ -385,7 +385,9 @@
         raise ZeroDivisionError
 
     owner, name = (
-        (failing.index, "apply_record") if part == "index" else (failing.dispatcher, "on_news")
+        (failing.index, "apply_record")
+        if part == "index"
+        else (failing.dispatcher, "on_log_records")
     )
     monkeypatch.setattr(owner, name, fail_once)
     world.instances["entry-1"].submit("a1", QUICK)
@@ -631,5 +633,5 @@
 
 
 def test_a_runners_entry_as_it_is_written_is_read() -> None:
-    assert runner_of(OTHER, entry()).room.millicores == 8000
-    assert runner_of(OTHER, entry(state="draining")).leaving
+    assert decode_runner_entry(OTHER, entry()).room.millicores == 8000
+    assert decode_runner_entry(OTHER, entry(state="draining")).leaving
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,7 +19,7 @@
 from spoolcrank.keyed_log import KeyedRecord
 from spoolcrank.orders import EndKind, OrderResult, Poll, Start, Target
 from spoolcrank.platform import daemon
-from spoolcrank.platform.documents import configuration_of, runner_of, workflow_of
+from spoolcrank.platform.documents import decode_configuration, decode_runner_entry, decode_workflow
 from spoolcrank.platform.runners import PlatformRunners
 from spoolcrank.platform.settings import read_settings
 from spoolcrank.platform.store import StoreLog
@@ -214,7 +214,7 @@
         ],
         "unknown": 1,
     }
-    flow = workflow_of(json.dumps(body).encode())
+    flow = decode_workflow(json.dumps(body).encode())
     assert flow.steps[0].demand == Demand(500, 256, 0)
     assert flow.steps[0].data_rack == "r1-3"
     assert flow.steps[1].after == (0,)
@@ -233,7 +233,7 @@
 )
 def test_a_wrong_job_is_refused_by_name(body: bytes, kind: ErrorKind) -> None:
     with pytest.raises(SpoolcrankError) as caught:
-        workflow_of(body)
+        decode_workflow(body)
     assert caught.value.refusal.kind is kind
 
 
@@ -243,7 +243,7 @@
         {**route, "name": "short", "pathPrefix": "/x/"},
         {**route, "name": "long", "pathPrefix": "/x/y/"},
     ]
-    table = configuration_of(json.dumps({"version": 7, "routes": routes}).encode())
+    table = decode_configuration(json.dumps({"version": 7, "routes": routes}).encode())
     assert table.version == 7
     assert [table.match("a.example:80", path).name for path in ("/x/1", "/x/y/1")] == [
         "short",
@@ -262,7 +262,7 @@
         "capacity": {"cpu": 16000, "memMb": 32768},
         "labels": ["a", "r1-3"],
     }
-    entry = runner_of("i-1", json.dumps(raw).encode())
+    entry = decode_runner_entry("i-1", json.dumps(raw).encode())
     assert entry.room == Demand(16000, 32768, 0)
     assert entry.leaving
     assert "r1-3" in entry.labels
@@ -295,7 +295,7 @@
     assert read_settings(str(path)).longest_lease_ms == 6000
     state = Scheduler(1, 0.0, 0.0, lease_ms=6000)
     raw = {"service": "s", "address": "10.0.0.1:80", "state": "ready"}
-    entry = runner_of("i-1", json.dumps(raw).encode())
+    entry = decode_runner_entry("i-1", json.dumps(raw).encode())
     list_runners(state, Listing({entry.id: entry}), -1.0, 0.0)
     runner = state.runners[entry.id]
     runner.record_answer(1000.0, 0.0, 0.0)
--- a/tests/test_platform_incarnations.py
+++ b/tests/test_platform_incarnations.py
@@ -16,7 +16,7 @@
 from spoolcrank.decoding import Unreadable
 from spoolcrank.ids import Address
 from spoolcrank.orders import Poll, Target
-from spoolcrank.platform.documents import runner_of
+from spoolcrank.platform.documents import decode_runner_entry
 from spoolcrank.platform.runners import PlatformRunners
 from spoolcrank.runner_ids import RunnerName, runner_id
 from spoolcrank.runner_port import PollResult
@@ -167,7 +167,7 @@
 
 
 def test_an_entry_identifies_the_incarnation_that_wrote_it() -> None:
-    assert runner_of("i-1", json.dumps(ENTRY | {"born": 1000}).encode()).id == FIRST
-    assert runner_of("i-1", json.dumps(ENTRY).encode()).id == RunnerId("i-1")
+    assert decode_runner_entry("i-1", json.dumps(ENTRY | {"born": 1000}).encode()).id == FIRST
+    assert decode_runner_entry("i-1", json.dumps(ENTRY).encode()).id == RunnerId("i-1")
     with pytest.raises(Unreadable):
-        runner_of(FIRST, json.dumps(ENTRY).encode())
+        decode_runner_entry(FIRST, json.dumps(ENTRY).encode())
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -223,7 +223,7 @@
 
 def _acknowledge_before_storing(state: Any, runner: Any, row: Any, now: float) -> None:
     _handle_end(state, runner, row, now)
-    runner.seen = runner.seen_next
+    runner.seen = runner.last_handled_end
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stop_times.py
+++ b/tests/test_stop_times.py
@@ -32,7 +32,7 @@
     stop_times,
 )
 from spoolcrank.platform.clients import ClientApi
-from spoolcrank.platform.documents import configuration_of
+from spoolcrank.platform.documents import decode_configuration
 from spoolcrank.platform.store import CALL_TIMEOUT_S
 from spoolcrank.prometheus_metrics import PrometheusMetrics
 from spoolcrank.store_port import Append, Appended, AppendOutcome, NewestPage, Records
@@ -247,7 +247,7 @@
         "maxAttempts": 4,
         "sloMs": 250,
     }
-    table = configuration_of(json.dumps({"version": 1, "routes": [route]}).encode())
+    table = decode_configuration(json.dumps({"version": 1, "routes": [route]}).encode())
     instance = Instance(AppendOutcome.UNKNOWN, 50.0)
     log: Any = Log()
     api = ClientApi(
--- a/tests/test_unknown_queues.py
+++ b/tests/test_unknown_queues.py
@@ -6,7 +6,7 @@
 
 from spoolcrank._web import HttpReply, HttpRequest
 from spoolcrank.platform.clients import ClientApi
-from spoolcrank.platform.documents import configuration_of
+from spoolcrank.platform.documents import decode_configuration
 from spoolcrank.prometheus_metrics import PrometheusMetrics
 from spoolcrank.routes import RouteTable
 from tests.fleet_world import World, small_world
@@ -32,7 +32,7 @@
         }
         for prefix in prefixes
     ]
-    return configuration_of(json.dumps({"version": version, "routes": routes}).encode())
+    return decode_configuration(json.dumps({"version": version, "routes": routes}).encode())
 
 
 def _ask(confirm: Callable[[Done], None], tables: list[RouteTable]) -> list[HttpReply]:
